--- a/flamingovalve/engines/__init__.py
+++ b/flamingovalve/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Owning model engines: orders, scheduling, reports."""
+"""Control of owned engines: leases, scheduling, orders and reports."""
--- a/flamingovalve/engines/api.py
+++ b/flamingovalve/engines/api.py
@@ -1,4 +1,4 @@
-"""The calls that an engine understands."""
+"""Client of the control API of an engine."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
     from flamingovalve.http.messages import Response
 
 FENCING_HEADER = 'x-fencing-number'
-_SHOWN_BYTES = 200
-_LOAD_SECONDS = 30
+_MAX_QUOTED_BYTES = 200
+_ORDER_TIMEOUT_SECONDS = 30
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """What an engine reports of itself, with a lag.
+    """State that an engine reports; it lags behind the actual state.
 
-    :ivar boot: changes when the engine restarts
+    :ivar boot: identifier that changes when the engine restarts
     :ivar age: seconds since the report was taken
-    :ivar resident: names of the adapters that it holds
+    :ivar resident: names of the loaded adapters
     :ivar running: requests in progress by adapter name
     """
 
@@ -40,7 +40,11 @@
 
 @dataclass(slots=True)
 class FencingState:
-    """Highest fencing number that an engine has seen; none if it ignores them."""
+    """Highest fencing number that an engine has seen.
+
+    :ivar boot: identifier that changes when the engine restarts
+    :ivar number: None if the engine ignores fencing numbers
+    """
 
     boot: str
     number: int | None
@@ -55,13 +59,13 @@
         engine: Engine,
         settings: RelaySettings,
     ) -> None:
-        """Call ``engine``."""
+        """Send calls to ``engine`` over connections of ``pool``."""
         self.engine = engine
         self._pool = pool
         self._settings = settings
 
     async def report(self) -> Result[LoadReport, ServingError]:
-        """Read the load report."""
+        """Fetch the load report."""
         outcome = await self._json('GET', '/v1/load-report')
         if outcome.is_error():
             return Error(outcome.error)
@@ -76,12 +80,12 @@
         )
 
     async def fencing(self) -> Result[FencingState, ServingError]:
-        """Read the highest fencing number, which does not lag."""
+        """Fetch the highest fencing number, which does not lag."""
         outcome = await self._json('GET', '/v1/fencing')
         return outcome.map(_fencing_state)
 
     async def claim(self, number: int) -> Result[FencingState, ServingError]:
-        """Refuse orders below ``number`` from now on."""
+        """Have the engine refuse orders below ``number`` from now on."""
         headers = [(FENCING_HEADER, str(number))]
         outcome = await self._json('POST', '/v1/fencing', {}, headers)
         return outcome.map(_fencing_state)
@@ -91,7 +95,7 @@
         name: str,
         number: int,
     ) -> Result[None, ServingError]:
-        """Order the adapter ``name`` to be loaded and wait for it."""
+        """Order the engine to load the adapter ``name`` and wait for it."""
         content = {'lora_name': name, 'lora_path': f'store://{name}'}
         return await self._order('/v1/load_lora_adapter', content, number)
 
@@ -100,12 +104,12 @@
         name: str,
         number: int,
     ) -> Result[None, ServingError]:
-        """Order the adapter ``name`` to be unloaded and wait for it."""
+        """Order the engine to unload the adapter ``name`` and wait for it."""
         content = {'lora_name': name}
         return await self._order('/v1/unload_lora_adapter', content, number)
 
     async def cancel(self, request_id: str) -> bool:
-        """Cancel a request; tell whether the engine has confirmed it."""
+        """Cancel a request; return whether the engine has confirmed it."""
         call = UpstreamCall('DELETE', f'/v1/streams/{request_id}', [])
         outcome = await self._exchange(call, self._settings.chunk_seconds)
         return outcome.is_ok()
@@ -118,7 +122,7 @@
     ) -> Result[None, ServingError]:
         headers = [(FENCING_HEADER, str(number))]
         call = UpstreamCall.from_json('POST', path, content, headers)
-        outcome = await self._exchange(call, _LOAD_SECONDS)
+        outcome = await self._exchange(call, _ORDER_TIMEOUT_SECONDS)
         return outcome.bind(_order_outcome)
 
     async def _json(
@@ -145,7 +149,7 @@
             return Ok(await self._pool.exchange(address, call, seconds))
         except (OSError, ConnectionLost) as failed:
             await self._pool.drop(address)
-            return Error(_no_reply(self.engine.id, failed))
+            return Error(_unreachable(self.engine.id, failed))
 
 
 def _fencing_state(raw: dict[str, Any]) -> FencingState:
@@ -162,11 +166,11 @@
     except ValueError:
         parsed = None
     if not isinstance(parsed, dict):
-        return Error(_bad_reply(response))
+        return Error(_unexpected_reply(response))
     if response.status == HTTPStatus.CONFLICT:
-        return Error(_old_number())
+        return Error(_fenced_off())
     if response.status != HTTPStatus.OK:
-        return Error(_bad_reply(response))
+        return Error(_unexpected_reply(response))
     return Ok(parsed)
 
 
@@ -174,39 +178,39 @@
     if response.status == HTTPStatus.OK:
         return Ok(None)
     if response.status == HTTPStatus.CONFLICT:
-        return Error(_old_number())
-    return Error(_bad_reply(response))
+        return Error(_fenced_off())
+    return Error(_unexpected_reply(response))
 
 
-def _old_number() -> ServingError:
+def _fenced_off() -> ServingError:
     return ServingError(
         ErrorKind.NOT_OWNER,
-        'the engine obeys another VM; ask /v1/entry again',
+        'another VM has claimed the engine; ask /v1/entry again',
         retry_after=1,
     )
 
 
-def _bad_reply(response: Response) -> ServingError:
-    text = response.body[:_SHOWN_BYTES].decode('utf-8', 'replace')
+def _unexpected_reply(response: Response) -> ServingError:
+    text = response.body[:_MAX_QUOTED_BYTES].decode('utf-8', 'replace')
     return ServingError(
         ErrorKind.LOAD_FAILED,
         f'the engine refused an order ({response.status}: {text}); it is '
-        'tried again after a pause',
+        'retried after a pause',
         retry_after=1,
     )
 
 
-def _no_reply(engine: str, failed: Exception) -> ServingError:
-    # Only a refused connection proves that the engine's process is gone.
-    # Silence may as well be the network's, and blaming it on a request
-    # would quarantine innocent ones.
+def _unreachable(engine: str, failed: Exception) -> ServingError:
+    # Only a refused connection proves that the engine's process has ended.
+    # A timeout may also be a network fault; if it counted as a crash,
+    # requests that did not cause it would be quarantined.
     refused = isinstance(failed, ConnectionRefusedError)
     kind = ErrorKind.UPSTREAM_SILENT
     if refused:
         kind = ErrorKind.UPSTREAM_UNREACHABLE
     return ServingError(
         kind,
-        f'engine {engine!r} cannot be reached ({failed}); see whether it runs',
+        f'engine {engine!r} cannot be reached ({failed}); check that it runs',
         ran=Ran.NOT,
         retry_after=1,
     )
--- a/flamingovalve/engines/backoff.py
+++ b/flamingovalve/engines/backoff.py
@@ -1,4 +1,4 @@
-"""When a load that failed may be tried again."""
+"""Exponential backoff of failed adapter loads."""
 
 from __future__ import annotations
 
@@ -7,44 +7,47 @@
 
 from flamingovalve.util import clock
 
-_FIRST_SECONDS: Final = 0.5
-_LONGEST_SECONDS: Final = 30.0
+_INITIAL_PAUSE_SECONDS: Final = 0.5
+_MAX_PAUSE_SECONDS: Final = 30.0
 
 
 @dataclass(slots=True)
 class Backoff:
-    """The failures of one adapter's loads.
+    """Consecutive failed loads of one adapter.
 
-    :ivar until: the load is not tried before this moment, on our clock
+    :ivar failures: failed loads since the last successful one
+    :ivar retry_at: earliest time of the next load, on the local clock
     """
 
     failures: int
-    until: float
+    retry_at: float
 
 
 class LoadBackoffs:
     """Failed loads by adapter name; each failure doubles the pause.
 
-    A broken adapter would otherwise be loaded again and again and take the
-    store's budget from those that work.
+    Without a pause, an adapter that cannot be loaded would be retried all
+    the time and use up the store's load budget of the other adapters.
     """
 
     def __init__(self) -> None:
-        """Start without failures."""
+        """Create an empty table of failures."""
         self._by_name: dict[str, Backoff] = {}
 
-    def failed(self, name: str) -> None:
-        """Count a failed load."""
+    def record_failure(self, name: str) -> None:
+        """Record a failed load and extend the pause."""
         known = self._by_name.get(name)
         failures = known.failures + 1 if known else 1
-        pause = min(_FIRST_SECONDS * 2 ** (failures - 1), _LONGEST_SECONDS)
+        pause = min(
+            _INITIAL_PAUSE_SECONDS * 2 ** (failures - 1), _MAX_PAUSE_SECONDS
+        )
         self._by_name[name] = Backoff(failures, clock.now() + pause)
 
     def clear(self, name: str) -> None:
-        """Forget the failures of an adapter that has loaded."""
+        """Reset the failures of an adapter that has loaded."""
         self._by_name.pop(name, None)
 
-    def remaining(self, name: str) -> float:
-        """Give the seconds until a load may be tried; 0 if it may now."""
+    def remaining_seconds(self, name: str) -> float:
+        """Return the seconds until a load may be tried; 0 if it may be now."""
         known = self._by_name.get(name)
-        return max(known.until - clock.now(), 0) if known else 0
+        return max(known.retry_at - clock.now(), 0) if known else 0
--- a/flamingovalve/engines/loader.py
+++ b/flamingovalve/engines/loader.py
@@ -1,4 +1,4 @@
-"""Carries out the loads and evictions that a scheduler decides on."""
+"""Executes the loads and evictions that a scheduler decides on."""
 
 from __future__ import annotations
 
@@ -20,39 +20,41 @@
 
 
 class AdapterLoader:
-    """Orders adapters onto one engine: one task for each load."""
+    """Sends load and unload orders to one engine, in one task per load."""
 
     scheduler: EngineScheduler
 
-    def __init__(self, api: EngineApi, number: Callable[[], int]) -> None:
-        """Order by ``api``.
+    def __init__(
+        self, api: EngineApi, fencing_number: Callable[[], int]
+    ) -> None:
+        """Send orders over ``api``.
 
-        :param number: gives the fencing number that orders carry
+        :param fencing_number: returns the fencing number that orders carry
         """
         self.error_listener: Callable[
             [ServingError],
             Awaitable[None],
-        ] = _ignore
-        self.end_listener: Callable[[], Awaitable[None]] = _nothing
+        ] = _ignore_error
+        self.end_listener: Callable[[], Awaitable[None]] = _ignore_end
         self._api = api
-        self._number = number
+        self._fencing_number = fencing_number
         self._tasks = TaskSet()
 
     async def start(self, order: LoadOrder) -> None:
-        """Begin to carry out ``order``."""
-        await self._tasks.spawn(self._carry_out, order)
+        """Start executing ``order`` in a task of its own."""
+        await self._tasks.spawn(self._execute, order)
 
-    async def _carry_out(self, order: LoadOrder) -> None:
+    async def _execute(self, order: LoadOrder) -> None:
         started_at = clock.now()
         error = await self._unload(order)
         if error is None:
-            loaded = await self._api.load(order.name, self._number())
+            loaded = await self._api.load(order.name, self._fencing_number())
             error = loaded.error if loaded.is_error() else None
         seconds = clock.now() - started_at
         await self.scheduler.load_ended(order, error, seconds)
         if error is not None:
             logger.warning(
-                'adapter {} did not load on {}: {}',
+                'loading adapter {} on engine {} failed: {}',
                 order.name,
                 self._api.engine.id,
                 error.message,
@@ -64,7 +66,7 @@
         if order.victim is None:
             return None
         residents = self.scheduler.residents
-        outcome = await self._api.unload(order.victim, self._number())
+        outcome = await self._api.unload(order.victim, self._fencing_number())
         if outcome.is_ok():
             residents.remove(order.victim)
             return None
@@ -74,9 +76,9 @@
         return outcome.error
 
 
-async def _ignore(_error: ServingError) -> None:
-    """Stand for a listener until there is one."""
+async def _ignore_error(_error: ServingError) -> None:
+    """Do nothing: default listener."""
 
 
-async def _nothing() -> None:
-    """Stand for a listener until there is one."""
+async def _ignore_end() -> None:
+    """Do nothing: default listener."""
--- a/flamingovalve/engines/owner.py
+++ b/flamingovalve/engines/owner.py
@@ -1,4 +1,4 @@
-"""Owning one engine: claim it, read its reports, carry out its loads."""
+"""Ownership of one engine: claim, lease renewal, load reports."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 logger = get_logger(__name__)
 
-_TIE_BITS: Final = 32
-_TIE_MASK: Final = (1 << _TIE_BITS) - 1
-_FIRST_RECLAIM_SECONDS: Final = 2.0
-_LONGEST_RECLAIM_SECONDS: Final = 60.0
-_CANCEL_TRIES: Final = 20
-_GAP_SECONDS: Final = 2.0
+_TIE_BREAKER_BITS: Final = 32
+_TIE_BREAKER_MASK: Final = (1 << _TIE_BREAKER_BITS) - 1
+_INITIAL_RECLAIM_SECONDS: Final = 2.0
+_MAX_RECLAIM_SECONDS: Final = 60.0
+_MAX_CANCEL_ATTEMPTS: Final = 20
+_MAX_LEASE_GAP_SECONDS: Final = 2.0
 
 
 class OwnerState(Enum):
-    """Where a VM stands towards an engine that it owns."""
+    """Ownership state of an engine on this VM."""
 
     CLAIMING = 'claiming'
     OWNING = 'owning'
@@ -47,7 +47,7 @@
 
 @dataclass
 class OwnerCounts:
-    """What happened to the ownership of one engine."""
+    """Ownership events of one engine."""
 
     claims: int = 0
     lost: int = 0
@@ -57,12 +57,13 @@
 
 
 class EngineOwner:
-    """One engine that this VM owns: one task, and one for each load.
+    """An engine owned by this VM; runs one task, plus one for each load.
 
-    The owner may dispatch while its lease holds. The lease is renewed by
-    the engine itself where it checks fencing numbers (it still shows ours
-    as the highest) and by the deputy where it does not. A new owner waits
-    that long before its first eviction, so the old one has stopped then.
+    The owner may dispatch until its lease expires. If the engine checks
+    fencing numbers, the lease is renewed whenever the engine reports our
+    number as its highest; otherwise the deputy renews it. A new owner waits
+    for one lease before its first eviction, by which time the previous
+    owner has stopped dispatching.
     """
 
     def __init__(
@@ -72,16 +73,17 @@
         incarnation: Incarnation,
         store: StoreShare,
         ask_deputy: Callable[[Engine], Awaitable[float]],
-        ended_ties: Callable[[], set[int]],
-        view: Callable[[], int],
-        chance: random.Random,
+        ended_tie_breakers: Callable[[], set[int]],
+        membership_epoch: Callable[[], int],
+        rng: random.Random,
     ) -> None:
         """Own ``api.engine``.
 
-        :param ask_deputy: gives the seconds for which the deputy promises
-            not to take over; 0 when it has or does not answer
-        :param ended_ties: gives the ties of processes that are gone
-        :param view: gives a number that changes with the known VMs
+        :param ask_deputy: returns the seconds for which the deputy promises
+            not to take over; 0 if it has taken over or does not answer
+        :param ended_tie_breakers: returns the tie-breakers of ended processes
+        :param membership_epoch: returns a number that changes when the set
+            of known VMs changes
         """
         self.engine = api.engine
         self.api = api
@@ -96,29 +98,29 @@
             self.loader.start,
         )
         self.loader.scheduler = self.scheduler
-        self.loader.error_listener = self._react
+        self.loader.error_listener = self._handle_order_error
         self.scheduler.may_dispatch = self.may_dispatch
         self.scheduler.may_evict = self._may_evict
         self.scheduler.refusal = self.refusal
         self.crash_listeners: list[Callable[[str, str], Awaitable[None]]] = []
         self._settings = settings.scheduling
-        self._tie = claimer_tie(settings.vm.id, incarnation)
+        self._tie_breaker = claimer_tie_breaker(settings.vm.id, incarnation)
         self._ask_deputy = ask_deputy
-        self._ended_ties = ended_ties
-        self._view = view
+        self._ended_tie_breakers = ended_tie_breakers
+        self._membership_epoch = membership_epoch
         self._quiet_seconds = self._settings.claim_quiet_seconds
-        self._chance = chance
+        self._rng = rng
         self._number = 0
         self._boot = ''
         self._claimed_at = 0.0
         self._lease_until = clock.now()
         self._reachable = True
-        self._noticed_at = clock.now()
+        self._restart_noticed_at = clock.now()
         self._report_taken_at = float('-inf')
-        self._reclaim_pause = _FIRST_RECLAIM_SECONDS
+        self._reclaim_pause = _INITIAL_RECLAIM_SECONDS
 
     async def run(self) -> None:
-        """Hold the engine until cancelled."""
+        """Claim the engine and renew its lease until cancelled."""
         while True:
             refusal = self.refusal()
             if refusal is not None:
@@ -126,63 +128,64 @@
             if self.state is OwnerState.OWNING:
                 await self._renew()
                 await curio.sleep(
-                    jittered(self._chance, self._settings.report_seconds)
+                    jittered(self._rng, self._settings.report_seconds)
                 )
             else:
                 await self._claim_or_wait()
 
     def current_number(self) -> int:
-        """Give the fencing number that our orders carry."""
+        """Return the fencing number that orders carry now."""
         return self._number
 
     @property
     def boot(self) -> str:
-        """Give the boot of the engine as last seen."""
+        """Boot identifier that the engine last reported."""
         return self._boot
 
     async def end(self, reason: ServingError) -> None:
-        """Give the engine up; requests in progress still finish."""
+        """Return up the engine; requests in progress still finish."""
         self.state = OwnerState.ENDED
         await self.scheduler.refuse_all(reason)
 
     def may_dispatch(self) -> bool:
-        """Tell whether the lease still holds."""
+        """Return whether the engine is owned and its lease is valid."""
         owning = self.state is OwnerState.OWNING
         return owning and clock.now() < self._lease_until
 
     def refusal(self) -> ServingError | None:
-        """Tell why requests are not taken at the moment, if they are not.
+        """Return the error with which requests are refused now, or None.
 
-        A short gap between two leases is waited out. Beyond that the
-        requests do better elsewhere than in a queue that does not move.
+        Requests stay queued over a short gap between two leases. After a
+        longer one they are refused so that they can be retried elsewhere
+        instead of waiting in a queue that is not served.
         """
-        if clock.now() < self._lease_until + _GAP_SECONDS:
+        if clock.now() < self._lease_until + _MAX_LEASE_GAP_SECONDS:
             return None
         if self._reachable:
             return not_owner(self.engine.id)
         return _unreachable(self.engine.id)
 
-    def suspect_lease(self) -> None:
+    def invalidate_lease(self) -> None:
         """Stop dispatching until the lease is renewed.
 
-        Called when this process was paused: it may still believe that it
-        owns what another VM has taken over meanwhile.
+        Called when this process was paused: another VM may have taken over
+        the engine during the pause.
         """
         self._lease_until = min(self._lease_until, clock.now())
 
-    async def crashed(self) -> None:
-        """Take note that the engine lost all that it held."""
+    async def record_crash(self) -> None:
+        """Record that the engine restarted and lost its adapters."""
         self.counts.crashes += 1
         await self.scheduler.evict_all()
 
     async def cancel_upstream(self, request_id: str) -> None:
         """Cancel a request and wait until the engine has confirmed it.
 
-        Until then the engine may still run it, and its adapter must stay.
-        An engine that restarted has forgotten it.
+        Until then the engine may still run the request, so its adapter must
+        stay loaded. A restarted engine no longer runs it.
         """
         boot = self._boot
-        for _attempt in range(_CANCEL_TRIES):
+        for _attempt in range(_MAX_CANCEL_ATTEMPTS):
             if await self.api.cancel(request_id) or boot != self._boot:
                 return
             await curio.sleep(self._settings.report_seconds)
@@ -195,35 +198,39 @@
             self.state = OwnerState.CLAIMING
         if not await self._claim():
             await curio.sleep(
-                jittered(self._chance, self._settings.report_seconds)
+                jittered(self._rng, self._settings.report_seconds)
             )
 
     async def _wait_to_reclaim(self) -> None:
         """Wait before claiming an engine that another VM has claimed.
 
-        In a split fleet both parts see themselves as owners. Waiting longer
-        each time keeps the engine from changing hands all the time. Once
-        the known VMs change, the split may be over: no more waiting then.
+        In a network partition a VM on each side considers itself the owner.
+        Doubling the wait keeps them from reclaiming the engine from each
+        other all the time. A change of the known VMs may mean that the
+        partition has healed, so it ends the wait.
         """
-        until = clock.now() + jittered(self._chance, self._reclaim_pause)
+        until = clock.now() + jittered(self._rng, self._reclaim_pause)
         doubled = self._reclaim_pause * 2
-        self._reclaim_pause = min(doubled, _LONGEST_RECLAIM_SECONDS)
-        view = self._view()
+        self._reclaim_pause = min(doubled, _MAX_RECLAIM_SECONDS)
+        membership_epoch = self._membership_epoch()
         while clock.now() < until:
             await curio.sleep(self._settings.report_seconds)
-            if self._view() != view:
-                self._reclaim_pause = _FIRST_RECLAIM_SECONDS
+            if self._membership_epoch() != membership_epoch:
+                self._reclaim_pause = _INITIAL_RECLAIM_SECONDS
                 return
 
     async def _claim(self) -> bool:
-        """Become the one whose orders the engine obeys."""
+        """Claim the engine with a higher fencing number.
+
+        :returns: whether this VM owns the engine now
+        """
         asked_at = clock.now()
         seen = await self.api.fencing()
         self._reachable = seen.is_ok()
         if seen.is_error():
             self.counts.failed_reports += 1
             return False
-        self._quiet_seconds = self._longest_quiet()
+        self._quiet_seconds = self._compute_quiet_seconds()
         if self.engine.fencing and seen.ok.number is not None:
             if self._claimer_has_ended(seen.ok.number):
                 self._quiet_seconds = 0
@@ -245,39 +252,42 @@
         self.state = OwnerState.OWNING
         self._adopt(report.ok)
         await self._extend_lease(asked_at)
-        logger.info('engine {} is owned by this VM', self.engine.id)
+        logger.info('engine {} has been claimed by this VM', self.engine.id)
         await self.scheduler.pump()
         return True
 
-    def _longest_quiet(self) -> float:
-        """Give the seconds after which an old owner has surely stopped."""
+    def _compute_quiet_seconds(self) -> float:
+        """Return the seconds after which a previous owner has stopped."""
         quiet = self._settings.claim_quiet_seconds
-        # Without fencing, the old one may have to lose its quorum first.
+        # Without fencing, the previous owner may have to lose its quorum first.
         return quiet if self.engine.fencing else 2 * quiet
 
     def _claimer_has_ended(self, seen: int) -> bool:
-        """Tell whether whoever claimed the engine last is gone.
+        """Return whether the process that claimed the engine last has ended.
 
-        Only the last claimer can hold a lease, since all others are outbid.
-        If its process is provably gone, nobody has to be waited for.
+        Only the last claimer can hold a lease, since its fencing number
+        supersedes all others. If its process is known to have ended, there
+        is no lease to wait for.
         """
-        return seen == 0 or seen & _TIE_MASK in self._ended_ties()
+        return (
+            seen == 0 or seen & _TIE_BREAKER_MASK in self._ended_tie_breakers()
+        )
 
     def _next_number(self, seen: int) -> int:
-        epoch = (seen >> _TIE_BITS) + 1
-        return epoch << _TIE_BITS | self._tie
+        epoch = (seen >> _TIE_BREAKER_BITS) + 1
+        return epoch << _TIE_BREAKER_BITS | self._tie_breaker
 
     def _adopt(self, report: LoadReport) -> None:
-        """Start from what the engine holds.
+        """Initialise the residents from the engine's report.
 
-        The old owner's requests may still run on any of these adapters, so
-        all of them count as used by somebody else as of now.
+        Requests of the previous owner may still run on any of these
+        adapters, so all of them count as in foreign use as of now.
         """
         residents = self.scheduler.residents
         for name in report.resident:
             if name not in residents.by_name:
                 residents.add(name, ResidentState.READY)
-            residents.by_name[name].foreign_at = clock.now()
+            residents.by_name[name].foreign_use_at = clock.now()
 
     async def _renew(self) -> None:
         asked_at = clock.now()
@@ -287,17 +297,17 @@
             self.counts.failed_reports += 1
             return
         if seen.ok.boot != self._boot:
-            await self._notice_restart(seen.ok.boot)
-        if self._is_outbid(seen.ok.number):
+            await self._handle_restart(seen.ok.boot)
+        if self._is_superseded(seen.ok.number):
             await self._lose()
             return
         await self._extend_lease(asked_at)
         report = await self.api.report()
         if report.is_ok():
-            await self._compare(report.ok, clock.now() - report.ok.age)
+            await self._reconcile(report.ok, clock.now() - report.ok.age)
         await self.scheduler.pump()
 
-    def _is_outbid(self, number: int | None) -> bool:
+    def _is_superseded(self, number: int | None) -> bool:
         if not self.engine.fencing or number is None:
             return False
         return number > self._number
@@ -305,7 +315,7 @@
     async def _lose(self) -> None:
         self.counts.lost += 1
         self.state = OwnerState.LOST
-        logger.info('engine {} obeys another VM', self.engine.id)
+        logger.info('engine {} has been claimed by another VM', self.engine.id)
         await self.scheduler.refuse_all(not_owner(self.engine.id))
 
     async def _extend_lease(self, asked_at: float) -> None:
@@ -317,21 +327,26 @@
         if promised > 0:
             self._lease_until = asked_at + min(promised, seconds)
 
-    async def _notice_restart(self, boot: str) -> None:
+    async def _handle_restart(self, boot: str) -> None:
         logger.warning('engine {} restarted', self.engine.id)
         ended = self._boot
         self._boot = boot
-        self._noticed_at = clock.now()
-        await self.crashed()
+        self._restart_noticed_at = clock.now()
+        await self.record_crash()
         for listener in self.crash_listeners:
             await listener(self.engine.id, ended)
 
-    async def _compare(self, report: LoadReport, taken_at: float) -> None:
-        """Take a report into account; it lags, so ours goes first."""
+    async def _reconcile(self, report: LoadReport, taken_at: float) -> None:
+        """Reconcile the residents with a report.
+
+        The report lags, so it does not override later local changes.
+
+        :param taken_at: when the report was taken, on the local clock
+        """
         self._report_taken_at = taken_at
         residents = self.scheduler.residents
         for resident in residents.by_name.values():
-            resident.compare(report.running.get(resident.name, 0))
+            resident.record_report(report.running.get(resident.name, 0))
         missing = [
             resident.name
             for resident in residents.by_name.values()
@@ -341,52 +356,53 @@
         ]
         for name in missing:
             residents.remove(name)
-        if taken_at > self._noticed_at:
+        if taken_at > self._restart_noticed_at:
             self._adopt_unknown(report)
 
     def _adopt_unknown(self, report: LoadReport) -> None:
-        """Count adapters that the engine holds and we had taken for lost.
+        """Add reported adapters that are missing from the residents.
 
-        They fill slots: an engine without a free one refuses each load.
+        They occupy slots, and an engine without a free slot refuses every
+        load.
         """
         residents = self.scheduler.residents
         for name in report.resident:
             if name not in residents.by_name and residents.has_free_slot():
                 found = residents.add(name, ResidentState.READY)
-                found.foreign_at = clock.now()
+                found.foreign_use_at = clock.now()
 
     def _may_evict(self, victim: Resident) -> bool:
-        """Tell whether nobody else can be using an adapter.
+        """Return whether no other VM can be using an adapter.
 
-        A VM that still believes to own this engine would go on dispatching
-        until its lease ends. Evicting before that would pull an adapter
-        from under a request in progress, and its caller would get an error
-        or the base model's answer.
+        A previous owner may go on dispatching until its lease expires. If
+        an adapter were evicted before that, a request in progress could
+        lose it, and its caller would get an error or the base model's
+        answer.
         """
         if clock.now() < self._claimed_at + self._quiet_seconds:
             return False
-        if self._report_taken_at <= victim.foreign_at:
+        if self._report_taken_at <= victim.foreign_use_at:
             return False
-        return clock.now() >= victim.foreign_at + self._quiet_seconds
+        return clock.now() >= victim.foreign_use_at + self._quiet_seconds
 
-    async def _react(self, error: ServingError) -> None:
+    async def _handle_order_error(self, error: ServingError) -> None:
         if error.kind is ErrorKind.NOT_OWNER:
             self.counts.refused_orders += 1
             if self.state is OwnerState.OWNING:
                 await self._lose()
 
 
-def claimer_tie(vm: str, incarnation: int) -> int:
-    """Give the low bits of the fencing numbers of one process.
+def claimer_tie_breaker(vm: str, incarnation: int) -> int:
+    """Return the low bits of the fencing numbers of one process.
 
-    They break the tie between two processes that claim in the same epoch,
-    and tell later who claimed.
+    They break the tie between two processes that claim in the same epoch
+    and identify the claimer afterwards.
     """
-    return hashing.weight(vm, str(incarnation)) & _TIE_MASK
+    return hashing.weight(vm, str(incarnation)) & _TIE_BREAKER_MASK
 
 
 def not_owner(engine: str) -> ServingError:
-    """Give the error of a VM that does not own ``engine``."""
+    """Return the error for requests to an engine that another VM owns."""
     return ServingError(
         ErrorKind.NOT_OWNER,
         f'another VM owns engine {engine!r}; ask /v1/entry again',
@@ -397,6 +413,6 @@
 def _unreachable(engine: str) -> ServingError:
     return ServingError(
         ErrorKind.UPSTREAM_UNREACHABLE,
-        f'engine {engine!r} does not answer its owner; see whether it runs',
+        f'engine {engine!r} does not answer its owner; check that it runs',
         retry_after=1,
     )
--- a/flamingovalve/engines/queue.py
+++ b/flamingovalve/engines/queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for one engine."""
+"""Queue of the requests that wait for one engine."""
 
 from __future__ import annotations
 
@@ -25,14 +25,18 @@
 
 @dataclass(eq=False, slots=True)
 class Ticket:
-    """A request's place in the queue of an engine.
+    """A request in the queue of an engine, or dispatched to the engine.
 
-    :ivar name: ``ADAPTER@VERSION`` that it needs
-    :ivar deadline: on our clock
-    :ivar isolated: run it apart from every other request
+    :ivar name: ``ADAPTER@VERSION`` that the request needs
+    :ivar deadline: on the local clock
+    :ivar isolated: whether to run it while no other request runs
+    :ivar entered_at: when it was queued, on the local clock
+    :ivar granted_at: when it was dispatched; negative before that
     :ivar resident: the adapter in its slot, once it is dispatched
     :ivar stalled: whether it had to wait for a load
-    :ivar granted_at: when it was dispatched; negative before that
+    :ivar stall_seconds: how long it waited for the load
+    :ivar refused: the error, if it was refused
+    :ivar decided: set when it is dispatched or refused
     """
 
     name: str
@@ -45,48 +49,48 @@
     stalled: bool = False
     stall_seconds: float = 0
     refused: ServingError | None = None
-    called: curio.Event = field(default_factory=curio.Event)
+    decided: curio.Event = field(default_factory=curio.Event)
 
 
 class TicketQueue:
-    """Tickets by adapter, in order of priority and arrival."""
+    """Tickets by adapter, ordered by priority, then by arrival."""
 
     def __init__(self, starvation_seconds: float) -> None:
-        """Call a ticket starved that waited for ``starvation_seconds``."""
-        self._starvation = starvation_seconds
+        """Count tickets as starved after ``starvation_seconds``."""
+        self._starvation_seconds = starvation_seconds
         self._by_name: dict[str, list[Ticket]] = {}
         self._length = 0
 
     def __len__(self) -> int:
-        """Count the tickets."""
+        """Return the number of tickets."""
         return self._length
 
     def __iter__(self) -> Iterator[Ticket]:
-        """Give every ticket."""
+        """Iterate over all tickets."""
         for waiting in self._by_name.values():
             yield from waiting
 
     def names(self) -> list[str]:
-        """Give the adapters that are waited for."""
+        """Return the adapters that tickets wait for."""
         return list(self._by_name)
 
     def waiting(self, name: str) -> list[Ticket]:
-        """Give the tickets that wait for ``name``, the next one first."""
+        """Return the tickets that wait for ``name``, the next one first."""
         return self._by_name.get(name, [])
 
     def add(self, ticket: Ticket) -> None:
-        """Append a ticket behind those of its priority."""
+        """Insert a ticket after those of its priority."""
         ticket.entered_at = clock.now()
         waiting = self._by_name.setdefault(ticket.name, [])
         rank = _RANKS[ticket.priority]
-        place = len(waiting)
-        while place and _RANKS[waiting[place - 1].priority] > rank:
-            place -= 1
-        waiting.insert(place, ticket)
+        index = len(waiting)
+        while index and _RANKS[waiting[index - 1].priority] > rank:
+            index -= 1
+        waiting.insert(index, ticket)
         self._length += 1
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take a ticket out; tell whether it was there."""
+        """Remove a ticket; return whether it was queued."""
         waiting = self._by_name.get(ticket.name, [])
         if ticket not in waiting:
             return False
@@ -97,20 +101,23 @@
         return True
 
     def mark_stalled(self, name: str) -> None:
-        """Note that the tickets of an adapter wait for its load."""
+        """Mark the tickets of an adapter as waiting for its load."""
         for ticket in self._by_name.get(name, []):
             ticket.stalled = True
 
     def urgency(self, ticket: Ticket) -> tuple[int, float]:
-        """Give the sort key of a ticket; smaller goes first."""
+        """Return the sort key of a ticket; the smallest goes first."""
         return _RANKS[ticket.priority], ticket.entered_at
 
-    def starved(self, usable: Callable[[str], bool]) -> Ticket | None:
-        """Give the oldest ticket if it has waited for too long."""
+    def starved(self, is_usable: Callable[[str], bool]) -> Ticket | None:
+        """Return the oldest ticket if it is starved, else None.
+
+        :param is_usable: returns whether tickets of an adapter are considered
+        """
         waiting = [
             ticket
             for name in self._by_name
-            if usable(name)
+            if is_usable(name)
             for ticket in self._by_name[name]
         ]
         oldest = min(
@@ -121,18 +128,21 @@
         if oldest is None:
             return None
         waited = clock.now() - oldest.entered_at
-        return oldest if waited > self._starvation else None
+        return oldest if waited > self._starvation_seconds else None
 
     def head(self, name: str) -> Ticket:
-        """Give the ticket of ``name`` that goes first."""
+        """Return the ticket of ``name`` that goes first."""
         return min(self._by_name[name], key=self.urgency)
 
-    def first(self, usable: Callable[[str], bool]) -> Ticket | None:
-        """Give the ticket that goes first among adapters that are usable."""
-        heads = [self.head(name) for name in self._by_name if usable(name)]
+    def first(self, is_usable: Callable[[str], bool]) -> Ticket | None:
+        """Return the ticket to dispatch next, or None.
+
+        :param is_usable: returns whether tickets of an adapter are considered
+        """
+        heads = [self.head(name) for name in self._by_name if is_usable(name)]
         return min(heads, key=self.urgency, default=None)
 
-    def ahead_of(self, ticket: Ticket) -> int:
-        """Count the tickets that would be dispatched before ``ticket``."""
+    def count_before(self, ticket: Ticket) -> int:
+        """Return how many tickets would be dispatched before ``ticket``."""
         key = self.urgency(ticket)
         return sum(1 for other in self if self.urgency(other) < key)
--- a/flamingovalve/engines/residents.py
+++ b/flamingovalve/engines/residents.py
@@ -1,4 +1,4 @@
-"""Which adapters an engine holds, and which of them may go."""
+"""Adapters in the slots of an engine, and the choice of eviction victims."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     from collections.abc import Callable, Iterable
 
 _RATE_HALF_LIFE_SECONDS: Final = 60
-_FORGOTTEN_RATE: Final = 1e-4
-_SWEEP_SIZE: Final = 1024
+_MIN_KEPT_RATE_PER_SECOND: Final = 1e-4
+_MIN_SWEEP_SIZE: Final = 1024
 
 
 class ResidentState(Enum):
-    """Where an adapter is on its way into or out of a slot."""
+    """Load state of an adapter in a slot."""
 
     LOADING = 'loading'
     READY = 'ready'
@@ -32,113 +32,120 @@
 
     :ivar name: ``ADAPTER@VERSION``
     :ivar pins: requests dispatched and not known to have ended
-    :ivar used_at: when it was last dispatched to, on our clock
-    :ivar foreign_at: when a report last showed requests of somebody else
-    :ivar recent_peak: most pins since the last report was compared
-    :ivar earlier_peak: most pins between the two reports before that
+    :ivar used_at: when a request was last dispatched to it, on the local
+        clock
+    :ivar foreign_use_at: when a report last showed requests of another VM
+    :ivar recent_peak: maximum of the pins since the last report
+    :ivar earlier_peak: maximum of the pins between the last two reports
     """
 
     name: str
     state: ResidentState
     pins: int = 0
     used_at: float = 0
-    foreign_at: float = float('-inf')
+    foreign_use_at: float = float('-inf')
     recent_peak: int = 0
     earlier_peak: int = 0
 
-    def become_ready(self) -> None:
-        """Note the end of its load.
+    def mark_ready(self) -> None:
+        """Record the end of its load.
 
-        Reports lag: one that was taken before this moment may not show it,
-        and must not be taken for proof that the engine lost it.
+        Reports lag: one that was taken before the load ended may not list
+        the adapter, which does not mean that the engine lost it.
         """
         self.state = ResidentState.READY
         self.used_at = clock.now()
 
     def pin(self) -> None:
-        """Count a request that is dispatched to it."""
+        """Record that a request was dispatched to it."""
         self.pins += 1
         self.used_at = clock.now()
         self.recent_peak = max(self.recent_peak, self.pins)
 
     def unpin(self) -> None:
-        """Count a request that is known to have ended."""
+        """Record that one of its requests is known to have ended."""
         self.pins = max(0, self.pins - 1)
 
-    def compare(self, running: int) -> None:
-        """Compare a report's count with ours, which the report lags behind."""
+    def record_report(self, running: int) -> None:
+        """Detect requests of other VMs from a report.
+
+        The report lags, so it is compared with the peak of the pins since
+        the report before the last.
+
+        :param running: requests that the engine reports for the adapter
+        """
         if running > max(self.recent_peak, self.earlier_peak):
-            self.foreign_at = clock.now()
+            self.foreign_use_at = clock.now()
         self.earlier_peak = self.recent_peak
         self.recent_peak = self.pins
 
 
 class Popularity:
-    """Request rates by adapter name, also of those not resident.
+    """Request rates by adapter name, including adapters not resident.
 
-    A name is forgotten once its rate has faded, so the size follows the
-    adapters in use and not the inventory.
+    A name is removed once its rate has decayed, so the size depends on the
+    adapters in use and not on the inventory.
     """
 
     def __init__(self) -> None:
-        """Start without any request seen."""
+        """Create an empty table of rates."""
         self._rates_by_name: dict[str, DecayingRate] = {}
-        self._sweep_at = _SWEEP_SIZE
+        self._sweep_size = _MIN_SWEEP_SIZE
 
     def __len__(self) -> int:
-        """Count the names that are remembered."""
+        """Return the number of names with a rate."""
         return len(self._rates_by_name)
 
     def add(self, name: str) -> None:
-        """Count one request."""
+        """Record one request for ``name``."""
         rate = self._rates_by_name.get(name)
         if rate is None:
             rate = DecayingRate(_RATE_HALF_LIFE_SECONDS)
             self._rates_by_name[name] = rate
-            self._sweep()
+            self._remove_decayed()
         rate.add()
 
     def rate(self, name: str) -> float:
-        """Give the requests a second of ``name``."""
+        """Return the requests per second for ``name``."""
         known = self._rates_by_name.get(name)
         return known.per_second() if known else 0
 
-    def _sweep(self) -> None:
-        if len(self._rates_by_name) < self._sweep_at:
+    def _remove_decayed(self) -> None:
+        if len(self._rates_by_name) < self._sweep_size:
             return
-        kept = {
+        retained = {
             name: rate
             for name, rate in self._rates_by_name.items()
-            if rate.per_second() > _FORGOTTEN_RATE
+            if rate.per_second() > _MIN_KEPT_RATE_PER_SECOND
         }
-        self._rates_by_name = kept
-        self._sweep_at = max(_SWEEP_SIZE, 2 * len(kept))
+        self._rates_by_name = retained
+        self._sweep_size = max(_MIN_SWEEP_SIZE, 2 * len(retained))
 
 
 class Residents:
     """The slots of one engine."""
 
     def __init__(self, slots: int, eviction: EvictionPolicy) -> None:
-        """Hold up to ``slots`` adapters."""
+        """Create ``slots`` empty slots."""
         self.slots = slots
         self.popularity = Popularity()
         self.by_name: dict[str, Resident] = {}
         self._removed_by_name: dict[str, Resident] = {}
-        self._worth = _WORTH[eviction]
+        self._value_of = _VALUE_FUNCTIONS[eviction]
 
     def ready(self, name: str) -> Resident | None:
-        """Give the adapter if it can be dispatched to."""
+        """Return the adapter if requests can be dispatched to it, else None."""
         resident = self.by_name.get(name)
         if resident is None or resident.state is not ResidentState.READY:
             return None
         return resident
 
     def has_free_slot(self) -> bool:
-        """Tell whether a load needs no eviction."""
+        """Return whether a load can start without an eviction."""
         return len(self.by_name) < self.slots
 
     def add(self, name: str, state: ResidentState) -> Resident:
-        """Give ``name`` a slot."""
+        """Assign a slot to ``name``."""
         resident = self._removed_by_name.pop(name, None)
         if resident is None or not resident.pins:
             resident = Resident(name, state)
@@ -148,12 +155,13 @@
         return resident
 
     def remove(self, name: str) -> None:
-        """Free the slot of ``name``; its pins stay with it.
+        """Free the slot of ``name``, but keep its pins.
 
-        An engine that restarted is noticed late. A request that reached it
-        since then still runs, although all that it held is counted as lost.
-        Were its pin forgotten, the adapter would be loaded again, seem
-        unused and be evicted under the request.
+        A restart of the engine is detected with a delay. A request that
+        reached the engine after the restart still runs, although all
+        adapters are removed when the restart is detected. Without its pin,
+        the adapter would look unused once loaded again and could be evicted
+        while the request runs.
         """
         resident = self.by_name.pop(name, None)
         if resident is not None and resident.pins:
@@ -164,43 +172,48 @@
         excluded: Iterable[str],
         allowed: Callable[[Resident], bool],
     ) -> Resident | None:
-        """Give the ready, unpinned adapter that is worth least.
+        """Return the ready, unpinned adapter of the lowest retention value.
 
-        :param excluded: names that must stay, such as those waited for
-        :param allowed: tells whether an adapter may go at all
+        :param excluded: names that must stay, such as those that queued
+            requests need
+        :param allowed: returns whether an adapter may be evicted at all
         """
-        kept = set(excluded)
+        retained = set(excluded)
         candidates = [
             resident
             for resident in self.by_name.values()
             if resident.state is ResidentState.READY
             and not resident.pins
-            and resident.name not in kept
+            and resident.name not in retained
             and allowed(resident)
         ]
-        return min(candidates, key=self.worth, default=None)
+        return min(candidates, key=self.retention_value, default=None)
 
-    def worth(self, resident: Resident) -> tuple[float, float]:
-        """Give what keeping an adapter is worth, as the policy sees it."""
-        return self._worth(self, resident)
+    def retention_value(self, resident: Resident) -> tuple[float, float]:
+        """Return the retention value of an adapter under the policy."""
+        return self._value_of(self, resident)
 
 
-def _by_rate(residents: Residents, resident: Resident) -> tuple[float, float]:
-    # Every adapter takes the same time to load again, so what an eviction
-    # costs is how soon its next request comes.
+def _value_by_rate(
+    residents: Residents, resident: Resident
+) -> tuple[float, float]:
+    # Every adapter takes the same time to reload, so the cost of an eviction
+    # depends only on how soon the next request for the adapter arrives.
     return residents.popularity.rate(resident.name), resident.used_at
 
 
-def _by_use(_residents: Residents, resident: Resident) -> tuple[float, float]:
+def _value_by_last_use(
+    _residents: Residents, resident: Resident
+) -> tuple[float, float]:
     return resident.used_at, 0
 
 
-_WORTH: Final[
+_VALUE_FUNCTIONS: Final[
     dict[
         EvictionPolicy,
         Callable[[Residents, Resident], tuple[float, float]],
     ]
 ] = {
-    EvictionPolicy.LEAST_VALUABLE: _by_rate,
-    EvictionPolicy.LEAST_RECENT: _by_use,
+    EvictionPolicy.LEAST_VALUABLE: _value_by_rate,
+    EvictionPolicy.LEAST_RECENT: _value_by_last_use,
 }
--- a/flamingovalve/engines/scheduler.py
+++ b/flamingovalve/engines/scheduler.py
@@ -1,7 +1,8 @@
-"""Decides what one engine runs next, loads next and evicts next.
+"""Decides what one engine runs, loads and evicts next.
 
 One scheduler runs at the owner of each engine. All requests for the engine
-pass through it, so it knows exactly which adapters are in use.
+pass through it, so it knows exactly which adapters are in use. A slot holds
+one adapter; a seat is one position of the engine's batch.
 """
 
 from __future__ import annotations
@@ -28,18 +29,18 @@
         SchedulingSettings,
     )
 
-_LOAD_GUESS_SECONDS: Final = 0.25
-_SERVICE_GUESS_SECONDS: Final = 1.0
-_FAIR_TURNS: Final = 4
+_INITIAL_LOAD_SECONDS: Final = 0.25
+_INITIAL_SERVICE_SECONDS: Final = 1.0
+_STARVATION_CHECK_INTERVAL: Final = 4
 
 
 @dataclass
 class SchedulerCounts:
-    """What a scheduler did since it started.
+    """Counters of a scheduler since it started.
 
     ``busy_seat_seconds`` over ``wanted_seat_seconds`` is the batch
-    efficiency: seats used over seats that could have been used while work
-    was waiting.
+    efficiency: seats used over seats that the running and waiting requests
+    could have used.
     """
 
     dispatched: int = 0
@@ -57,7 +58,8 @@
 class LoadOrder:
     """A decision to load an adapter.
 
-    :ivar victim: the adapter that gives up its slot; none if one is free
+    :ivar name: the adapter to load
+    :ivar victim: the adapter to evict first; None if a slot is free
     """
 
     name: str
@@ -65,7 +67,7 @@
 
 
 class EngineScheduler:
-    """Queue, slots and batch of one engine."""
+    """Schedules the queue, the slots and the batch of one engine."""
 
     def __init__(
         self,
@@ -75,18 +77,18 @@
         store: StoreShare,
         start_load: Callable[[LoadOrder], Awaitable[object]],
     ) -> None:
-        """Schedule ``engine``; carry out loads by ``start_load``."""
+        """Schedule ``engine``; start loads with ``start_load``."""
         self.engine = engine
         self.counts = SchedulerCounts()
         self.queue = TicketQueue(scheduling.starvation_seconds)
         self.residents = Residents(engine.slots, scheduling.eviction)
         self.running = 0
-        self.loads = SmoothedSeconds(_LOAD_GUESS_SECONDS)
-        self.services = SmoothedSeconds(_SERVICE_GUESS_SECONDS)
-        self.may_dispatch: Callable[[], bool] = _always
+        self.loads = SmoothedSeconds(_INITIAL_LOAD_SECONDS)
+        self.services = SmoothedSeconds(_INITIAL_SERVICE_SECONDS)
+        self.may_dispatch: Callable[[], bool] = _always_dispatch
         self.may_evict: Callable[[Resident], bool] = _always_evict
         self.refusal: Callable[[], ServingError | None] = _no_refusal
-        self.dispatch_listener: Callable[[Ticket], None] = _no_listener
+        self.dispatch_listener: Callable[[Ticket], None] = _ignore_dispatch
         self._settings = scheduling
         self._limits = limits
         self._store = store
@@ -94,16 +96,16 @@
         self._isolated = False
         self._draining: set[str] = set()
         self._backoffs = LoadBackoffs()
-        self._accounted_at = clock.now()
+        self._seat_seconds_updated_at = clock.now()
 
     async def enter(self, ticket: Ticket) -> None:
-        """Wait until the request may be sent to the engine.
+        """Queue a request and wait until it may be sent to the engine.
 
-        :raises ServingError: when it is refused; it has not run then
+        :raises ServingError: if it is refused; it has not run then
         """
         self._check_admission(ticket)
         self.residents.popularity.add(ticket.name)
-        self._account()
+        self._update_seat_seconds()
         self.queue.add(ticket)
         try:
             await self._wait_for_seat(ticket)
@@ -115,11 +117,12 @@
             raise ticket.refused
 
     async def leave(self, ticket: Ticket, *, served: bool) -> None:
-        """Give back the seat of a dispatched request and its pin.
+        """Release the seat and the pin of a dispatched request.
 
-        :param served: the request ended well; its duration is typical
+        :param served: whether the request succeeded, so that its duration
+            counts for the mean service time
         """
-        self._account()
+        self._update_seat_seconds()
         self.running -= 1
         if ticket.isolated:
             self._isolated = False
@@ -130,11 +133,11 @@
         await self.pump()
 
     async def pump(self) -> None:
-        """Dispatch what can be dispatched and load what is waited for."""
+        """Dispatch ready requests and start loads of adapters they wait for."""
         await self._dispatch_all()
-        before = self._draining
+        previously_draining = self._draining
         await self._start_loads()
-        if before - self._draining:
+        if previously_draining - self._draining:
             await self._dispatch_all()
 
     async def load_ended(
@@ -143,14 +146,14 @@
         error: ServingError | None,
         seconds: float,
     ) -> None:
-        """Take the outcome of a load that was started."""
+        """Record the outcome of a load that was started."""
         self._store.ended(seconds if error is None else None)
         if order.name in self.residents.by_name:
-            await self._place(order, error, seconds)
+            await self._apply_load_outcome(order, error, seconds)
         await self.pump()
 
     async def evict_all(self) -> None:
-        """Forget every adapter: the engine restarted with empty slots."""
+        """Remove every adapter: the engine restarted with empty slots."""
         for resident in list(self.residents.by_name.values()):
             if resident.state is not ResidentState.LOADING:
                 self.residents.remove(resident.name)
@@ -169,50 +172,50 @@
             raise refusal
         self._check_backoff(ticket.name)
         remaining = ticket.deadline - clock.now()
-        wait = self._wait_of(ticket)
+        wait = self._estimate_wait(ticket)
         if wait + self.services.low() > remaining:
-            # Work that cannot be done in time would only delay the rest.
+            # A request that cannot meet its deadline would only delay others.
             self.counts.refused += 1
             raise _cannot_meet_deadline(wait, remaining)
 
     def _check_backoff(self, name: str) -> None:
-        # A load that has just failed is not tried yet; whoever asks for it
-        # meanwhile had better try another engine than wait here.
-        pause = self._backoffs.remaining(name)
+        # During the pause after a failed load the adapter is not loaded, so
+        # requests for it are refused and can be retried on another engine.
+        pause = self._backoffs.remaining_seconds(name)
         if pause > 0 and name not in self.residents.by_name:
             self.counts.refused += 1
             raise _load_failed(name, pause)
 
-    def _wait_of(self, ticket: Ticket) -> float:
+    def _estimate_wait(self, ticket: Ticket) -> float:
         ticket.entered_at = clock.now()
-        seats = max(self.engine.batch, 1)
-        ahead = self.queue.ahead_of(ticket)
-        if self.running < seats and not ahead:
+        seat_count = max(self.engine.batch, 1)
+        ahead = self.queue.count_before(ticket)
+        if self.running < seat_count and not ahead:
             return 0
-        return ahead / seats * self.services.mean
+        return ahead / seat_count * self.services.mean
 
     async def _wait_for_seat(self, ticket: Ticket) -> None:
         remaining = max(ticket.deadline - clock.now(), 0)
         try:
             async with curio.timeout_after(remaining):
                 await self.pump()
-                await ticket.called.wait()
-        except curio.TaskTimeout as late:
-            raise _deadline_passed() from late
+                await ticket.decided.wait()
+        except curio.TaskTimeout as timeout:
+            raise _deadline_passed() from timeout
 
     async def _withdraw(self, ticket: Ticket) -> None:
-        self._account()
+        self._update_seat_seconds()
         if not self.queue.remove(ticket) and ticket.granted_at >= 0:
             await self.leave(ticket, served=False)
 
     async def _refuse(self, ticket: Ticket, error: ServingError) -> None:
         if self.queue.remove(ticket):
             ticket.refused = error
-            await ticket.called.set()
+            await ticket.decided.set()
 
     async def _dispatch_all(self) -> None:
         while await self._dispatch_one():
-            self._account()
+            self._update_seat_seconds()
 
     async def _dispatch_one(self) -> bool:
         if self.running >= self.engine.batch or self._isolated:
@@ -223,22 +226,23 @@
         if ticket is None:
             return False
         if ticket.deadline - clock.now() < self.services.low():
-            # It would take a seat and be cut off at its deadline: under an
-            # overload all seats would end up working for nobody.
+            # The request would be cut off at its deadline. Under overload,
+            # all seats could end up with requests that cannot complete.
             await self._refuse(ticket, _deadline_passed())
             return True
         if ticket.isolated and self.running:
-            # It waits until the engine is empty; nothing overtakes it, or
-            # a busy engine would never be empty.
+            # An isolated request waits until no other request runs. Nothing
+            # is dispatched before it, or a busy engine would never be idle.
             return False
         await self._dispatch(ticket)
         return True
 
     def _next_ticket(self) -> Ticket | None:
-        # Without a turn of their own now and then, a steady stream of
-        # priority requests would leave ordinary ones waiting for good. If
-        # they were simply promoted, an overload would undo all priorities.
-        if self.counts.dispatched % _FAIR_TURNS == 0:
+        # Every few dispatches, a starved request goes first; otherwise a
+        # steady stream of priority requests would block ordinary ones
+        # forever. Raising the priority of starved requests instead would
+        # cancel all priorities under overload.
+        if self.counts.dispatched % _STARVATION_CHECK_INTERVAL == 0:
             starved = self.queue.starved(self._is_ready)
             if starved is not None:
                 return starved
@@ -249,7 +253,7 @@
         return ready and name not in self._draining
 
     async def _dispatch(self, ticket: Ticket) -> None:
-        self._account()
+        self._update_seat_seconds()
         self.queue.remove(ticket)
         ticket.resident = self.residents.by_name[ticket.name]
         ticket.resident.pin()
@@ -261,70 +265,76 @@
             self.counts.stalled += 1
             self.counts.stall_seconds += ticket.stall_seconds
         self.dispatch_listener(ticket)
-        await ticket.called.set()
+        await ticket.decided.set()
 
     async def _start_loads(self) -> None:
         wanted = self._wanted_loads()
-        slotless = []
+        blocked_names = []
         started = 0
         for name in wanted:
             if not self.may_dispatch():
                 break
             victim = self._choose_victim()
             if victim is None and not self.residents.has_free_slot():
-                slotless.append(name)
+                blocked_names.append(name)
             elif self._store.start():
                 await self._load(name, victim)
                 started += 1
-        self._store.waiting(self, len(wanted) - started)
-        # Only for want of a slot: to hold requests back while it is the
-        # store that keeps a load waiting would idle the engine for nothing.
-        self._drain_for(slotless)
+        self._store.record_waiting(self, len(wanted) - started)
+        # Only loads without a slot drain an adapter. Holding requests back
+        # for a load that waits for the store would idle the engine.
+        self._drain_for(blocked_names)
 
-    def _drain_for(self, stuck: list[str]) -> None:
-        """Stop feeding adapters whose slots more urgent ones wait for.
+    def _drain_for(self, blocked_names: list[str]) -> None:
+        """Stop dispatching to adapters whose slots more urgent ones need.
 
         While every slot is in use, an adapter that always has another
-        request waiting would keep its slot for good, and an urgent request
-        for an adapter without one would wait behind ordinary ones.
+        request queued would keep its slot forever, and an urgent request
+        for an adapter without a slot would wait for ordinary requests.
+
+        :param blocked_names: adapters to load for which there is no slot,
+            the most urgent first
         """
-        before = self._draining
+        previously_draining = self._draining
         self._draining = set()
         if not self._settings.preemption:
             return
-        for name in stuck:
-            chosen = self._next_to_drain(name, before)
+        for name in blocked_names:
+            chosen = self._next_to_drain(name, previously_draining)
             if chosen is not None:
                 self._draining.add(chosen.name)
 
-    def _next_to_drain(self, name: str, before: set[str]) -> Resident | None:
+    def _next_to_drain(
+        self, name: str, previously_draining: set[str]
+    ) -> Resident | None:
         key = self._slot_urgency(name)
         candidates = [
             resident
             for resident in self.residents.by_name.values()
             if resident.state is ResidentState.READY
             and resident.name not in self._draining
-            and self._gives_way(resident, key)
+            and self._may_be_drained(resident, key)
         ]
         return min(
             candidates,
             key=lambda resident: (
-                resident.name not in before,
+                resident.name not in previously_draining,
                 resident.pins,
-                self.residents.worth(resident),
+                self.residents.retention_value(resident),
             ),
             default=None,
         )
 
-    def _gives_way(
+    def _may_be_drained(
         self,
         resident: Resident,
         key: tuple[int, float],
     ) -> bool:
         if not self.queue.waiting(resident.name):
             return True
-        # Among equals it is not worth the load and the seats that empty
-        # meanwhile: trials lost 3 to 5 % of the batch and gained no time.
+        # Draining for an adapter of the same priority costs a load and
+        # leaves seats empty while the slot is drained: it lost 3 to 5 % of
+        # the batch and reduced no waiting time.
         return self._slot_urgency(resident.name)[0] > key[0]
 
     def _wanted_loads(self) -> list[str]:
@@ -336,10 +346,12 @@
         for name in missing:
             self.queue.mark_stalled(name)
         wanted = [
-            name for name in missing if not self._backoffs.remaining(name)
+            name
+            for name in missing
+            if not self._backoffs.remaining_seconds(name)
         ]
         ordered = sorted(wanted, key=self._slot_urgency)
-        if self.counts.loads % _FAIR_TURNS == 0:
+        if self.counts.loads % _STARVATION_CHECK_INTERVAL == 0:
             starved = self.queue.starved(wanted.__contains__)
             if starved is not None:
                 ordered.remove(starved.name)
@@ -347,11 +359,11 @@
         return ordered
 
     def _slot_urgency(self, name: str) -> tuple[int, float]:
-        """Give the sort key of a claim to a slot; smaller goes first.
+        """Return the sort key of an adapter's need of a slot.
 
-        One load serves everyone who waits for that adapter. Each further
-        request counts like some seconds of waiting, so that a slot goes to
-        the adapter that fills most seats.
+        The smallest key goes first. One load serves all requests that wait
+        for the adapter. Each further request counts as additional seconds
+        of waiting, so that a slot goes to the adapter that fills most seats.
         """
         rank, entered_at = self.queue.urgency(self.queue.head(name))
         others = len(self.queue.waiting(name)) - 1
@@ -367,15 +379,18 @@
         await self._start_load(order)
 
     def _choose_victim(self) -> Resident | None:
-        """Give the adapter to evict; none if a slot is free or none may go."""
+        """Return the adapter to evict.
+
+        None if a slot is free or no adapter may be evicted.
+        """
         if self.residents.has_free_slot():
             return None
-        kept = [
+        excluded = [
             name for name in self.queue.names() if name not in self._draining
         ]
-        return self.residents.victim(kept, self.may_evict)
+        return self.residents.victim(excluded, self.may_evict)
 
-    async def _place(
+    async def _apply_load_outcome(
         self,
         order: LoadOrder,
         error: ServingError | None,
@@ -384,36 +399,36 @@
         if error is None:
             self.loads.add(seconds)
             self._backoffs.clear(order.name)
-            self.residents.by_name[order.name].become_ready()
+            self.residents.by_name[order.name].mark_ready()
             for ticket in self.queue.waiting(order.name):
                 ticket.stall_seconds = clock.now() - ticket.entered_at
             return
         self.residents.remove(order.name)
         self.counts.failed_loads += 1
-        self._backoffs.failed(order.name)
+        self._backoffs.record_failure(order.name)
         for ticket in list(self.queue.waiting(order.name)):
             await self._refuse(ticket, error)
 
-    def _account(self) -> None:
-        moment = clock.now()
-        elapsed = moment - self._accounted_at
-        self._accounted_at = moment
+    def _update_seat_seconds(self) -> None:
+        now = clock.now()
+        elapsed = now - self._seat_seconds_updated_at
+        self._seat_seconds_updated_at = now
         busy = min(self.running, self.engine.batch)
         wanted = min(self.running + len(self.queue), self.engine.batch)
         self.counts.busy_seat_seconds += busy * elapsed
         self.counts.wanted_seat_seconds += wanted * elapsed
 
 
-def _always() -> bool:
+def _always_dispatch() -> bool:
     return True
 
 
-def _no_listener(_ticket: Ticket) -> None:
-    """Stand for a listener until there is one."""
+def _ignore_dispatch(_ticket: Ticket) -> None:
+    """Do nothing: default listener."""
 
 
 def _no_refusal() -> None:
-    """Take every request."""
+    """Refuse no request."""
 
 
 def _always_evict(_resident: Resident) -> bool:
@@ -423,7 +438,7 @@
 def _load_failed(name: str, pause: float) -> ServingError:
     return ServingError(
         ErrorKind.LOAD_FAILED,
-        f'adapter {name!r} did not load and is tried again soon; see whether '
+        f'adapter {name!r} failed to load and is retried soon; check that '
         'the weight store has it',
         retry_after=pause,
     )
@@ -432,7 +447,7 @@
 def _queue_full(engine: str, seconds: float) -> ServingError:
     return ServingError(
         ErrorKind.OVERLOADED,
-        f'too many requests wait for engine {engine!r}; come back later',
+        f'too many requests wait for engine {engine!r}; retry later',
         retry_after=seconds,
     )
 
@@ -440,8 +455,8 @@
 def _cannot_meet_deadline(wait: float, remaining: float) -> ServingError:
     return ServingError(
         ErrorKind.DEADLINE_TOO_SHORT,
-        f'the wait is about {wait:.1f} s and the deadline is in '
-        f'{remaining:.1f} s; come back later or allow more time',
+        f'the estimated wait is {wait:.1f} s and the deadline is in '
+        f'{remaining:.1f} s; retry later or set a later deadline',
         retry_after=wait,
     )
 
@@ -449,6 +464,6 @@
 def _deadline_passed() -> ServingError:
     return ServingError(
         ErrorKind.DEADLINE_PASSED,
-        'the deadline passed while the request waited; it was not run',
+        'the deadline passed while the request was queued; it was not run',
         retry_after=1,
     )
--- a/flamingovalve/routing/__init__.py
+++ b/flamingovalve/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which VM and which engine serve a request."""
+"""Choice of the VM and the engine that serve a request."""
--- a/flamingovalve/routing/engines.py
+++ b/flamingovalve/routing/engines.py
@@ -1,4 +1,4 @@
-"""The engines that this VM owns, as the division of work changes."""
+"""Engines that this VM owns, updated as ownership changes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from flamingovalve.engines.api import EngineApi
 from flamingovalve.engines.owner import (
     EngineOwner,
-    claimer_tie,
+    claimer_tie_breaker,
     not_owner,
 )
 from flamingovalve.errors import ConnectionLost, WrongPeer
@@ -33,17 +33,17 @@
 
 logger = get_logger(__name__)
 
-_CHECK_SECONDS: Final = 0.25
+_POLL_SECONDS: Final = 0.25
 
 
 @dataclass
-class _Owned:
+class _OwnedEngine:
     owner: EngineOwner
     task: curio.Task
 
 
 class OwnedEngines:
-    """Starts and ends an :class:`EngineOwner` for each engine we own."""
+    """Starts and ends an :class:`EngineOwner` for each engine of this VM."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         peers: PeerPool,
         store: StoreShare,
         quarantine: Quarantine,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Own engines as ``ownership`` says."""
+        """Own the engines that ``ownership`` assigns to this VM."""
         self.inventory: Inventory | None = None
         self._settings = settings
         self._incarnation = incarnation
@@ -67,36 +67,36 @@
         self._peers = peers
         self._store = store
         self._quarantine = quarantine
-        self._chance = chance
-        self._owned_by_id: dict[EngineId, _Owned] = {}
-        self._turn = 0
+        self._rng = rng
+        self._owned_by_id: dict[EngineId, _OwnedEngine] = {}
+        self._rotation = 0
 
     def __len__(self) -> int:
-        """Count the engines that we own."""
+        """Return the number of engines that this VM owns."""
         return len(self._owned_by_id)
 
     def owners(self) -> list[EngineOwner]:
-        """Give the owner of each engine that is ours."""
+        """Return the owner of each engine of this VM."""
         return [owned.owner for owned in self._owned_by_id.values()]
 
     def find(self, engine_id: EngineId) -> EngineOwner | None:
-        """Give the owner of an engine, if it is ours."""
+        """Return the owner of an engine, or None if another VM owns it."""
         owned = self._owned_by_id.get(engine_id)
         return owned.owner if owned else None
 
     async def follow_forever(self) -> None:
-        """Adjust what we own to the members and the inventory."""
-        seen: object = None
+        """Adjust the owned engines to the members and the inventory."""
+        previous_state: object = None
         while True:
             present = tuple(self._members.present_ids())
             state = (present, self.inventory)
-            if state != seen:
-                seen = state
+            if state != previous_state:
+                previous_state = state
                 await self.adjust()
-            await curio.sleep(_CHECK_SECONDS)
+            await curio.sleep(_POLL_SECONDS)
 
     async def adjust(self) -> None:
-        """Start owning what is ours now and stop owning what is not."""
+        """Acquire engines assigned to this VM and release all others."""
         wanted = self._wanted()
         for engine_id in list(self._owned_by_id):
             engine = wanted.get(engine_id)
@@ -107,29 +107,33 @@
                 await self._acquire(engine)
 
     async def pump(self) -> None:
-        """Let every scheduler with waiting requests look again.
+        """Run every scheduler that has waiting requests.
 
-        Another one begins each time: the first takes what the store's share
-        has left, and the last of a fixed order would never get any.
+        A different scheduler goes first each time: the first one takes what
+        is left of the store's share, so in a fixed order the last one would
+        never get any of it.
         """
         owners = self.owners()
-        self._turn += 1
-        first = self._turn % max(len(owners), 1)
+        self._rotation += 1
+        first = self._rotation % max(len(owners), 1)
         for owner in (*owners[first:], *owners[:first]):
             if len(owner.scheduler.queue):
                 await owner.scheduler.pump()
 
     def suspect_leases(self) -> None:
-        """Renew every lease before the next dispatch: we were paused."""
+        """Stop dispatching until leases are renewed.
+
+        Called when this process was paused.
+        """
         for owner in self.owners():
-            owner.suspect_lease()
+            owner.invalidate_lease()
 
     async def answer_takeover(
         self,
         ask: TakeoverAsk,
         _remote: object,
     ) -> TakeoverReply:
-        """Tell the owner of an engine whether we have taken it over."""
+        """Answer the owner of an engine whether this VM has taken it over."""
         taken = ask.engine in self._owned_by_id
         return TakeoverReply(
             taken,
@@ -137,7 +141,7 @@
         )
 
     async def close(self) -> None:
-        """Give every engine up."""
+        """Release every engine."""
         for engine_id in list(self._owned_by_id):
             await self._release(engine_id)
 
@@ -158,40 +162,43 @@
             self._incarnation,
             self._store,
             self._ask_deputy,
-            self._ended_ties,
-            self._view,
-            self._chance,
+            self._ended_tie_breakers,
+            self._membership_epoch,
+            self._rng,
         )
-        owner.crash_listeners.append(self._crashed)
-        # A load that ended anywhere frees the store's budget for all.
+        owner.crash_listeners.append(self._record_crash)
+        # The end of a load on any engine frees store budget for all of them.
         owner.loader.end_listener = self.pump
         task = await curio.spawn(owner.run, daemon=True)
-        self._owned_by_id[engine.id] = _Owned(owner, task)
+        self._owned_by_id[engine.id] = _OwnedEngine(owner, task)
 
     async def _release(self, engine_id: EngineId) -> None:
         owned = self._owned_by_id.pop(engine_id)
-        logger.info('engine {} is given up', engine_id)
+        logger.info('ownership of engine {} is released', engine_id)
         await owned.task.cancel()
         await owned.owner.end(not_owner(engine_id))
 
-    async def _crashed(self, engine_id: str, boot: str) -> None:
+    async def _record_crash(self, engine_id: str, boot: str) -> None:
         self._quarantine.crashed(engine_id, boot)  # type: ignore[arg-type]
 
-    def _view(self) -> int:
+    def _membership_epoch(self) -> int:
         return self._members.epoch
 
-    def _ended_ties(self) -> set[int]:
+    def _ended_tie_breakers(self) -> set[int]:
         return {
-            claimer_tie(vm, incarnation)
+            claimer_tie_breaker(vm, incarnation)
             for vm, incarnation in self._members.ended_processes()
         }
 
     async def _ask_deputy(self, engine: Engine) -> float:
-        """Give the seconds for which the deputy has not taken over.
+        """Return the seconds for which the deputy promises not to take over.
+
+        Used for engines that ignore fencing numbers. Such an engine cannot
+        reject the orders of a second owner in a network partition, so only
+        the part of the fleet with a quorum owns it.
 
-        Asked for engines that ignore fencing numbers. Nothing but the VMs
-        themselves keeps two parts of a split fleet apart there, so only the
-        part with a quorum owns them.
+        :returns: 0 without a quorum, or if the deputy has taken over or
+            does not answer
         """
         if not self._members.has_quorum():
             return 0
--- a/flamingovalve/routing/entry.py
+++ b/flamingovalve/routing/entry.py
@@ -1,4 +1,4 @@
-"""Answers which address a caller should use."""
+"""Answers which addresses a caller should use."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     from flamingovalve.routing.ownership import Ownership
     from flamingovalve.routing.placement import Placement
 
-_ADDRESSES: Final = 4
+_MAX_ADDRESSES: Final = 4
 
 
 class EntryAnswers:
-    """Ranks entry addresses so that the usual path takes one hop."""
+    """Ranks entry addresses so that most requests take one hop."""
 
     def __init__(
         self,
@@ -26,9 +26,9 @@
         placement: Placement,
         ownership: Ownership,
     ) -> None:
-        """Rank the present ``members``."""
+        """Rank the addresses of the ``members`` that are present."""
         self._own_id = settings.vm.id
-        self._seconds = settings.fleet.entry_seconds
+        self._ttl_seconds = settings.fleet.entry_seconds
         self._members = members
         self._placement = placement
         self._ownership = ownership
@@ -38,7 +38,7 @@
         target: Target,
         inventory: Inventory,
     ) -> dict[str, Any]:
-        """Give the answer for a completion on ``target``."""
+        """Return the answer for a completion on ``target``."""
         names: list[VmId] = []
         order = self._placement.order(target.name, target.model)
         for engine_id in order[: self._placement.spread(target.name)]:
@@ -51,13 +51,15 @@
         }
 
     def for_call(self, service: str, call: str) -> dict[str, Any]:
-        """Give the answer for a call of a plain service: this VM first."""
+        """Return the answer for a call of a plain service: this VM first."""
         answer = self._answer([VmId(self._own_id)])
         return {'service': service, 'call': call, **answer}
 
     def _answer(self, names: list[VmId]) -> dict[str, Any]:
         ranked = list(dict.fromkeys(names))
-        ranked.extend(member.vm.id for member in self._neighbours(set(ranked)))
+        ranked.extend(
+            member.vm.id for member in self._other_members(set(ranked))
+        )
         present = [
             self._members.by_id[name].vm
             for name in ranked
@@ -65,16 +67,16 @@
         ]
         addresses = [vm.http_address for vm in present]
         return {
-            'addresses': addresses[:_ADDRESSES],
-            'ttl_seconds': self._seconds,
+            'addresses': addresses[:_MAX_ADDRESSES],
+            'ttl_seconds': self._ttl_seconds,
         }
 
-    def _neighbours(self, taken: set[VmId]) -> list[Member]:
-        # Those we cannot reach ourselves may well answer the caller, but
-        # others that we can reach come first.
-        rest = [
+    def _other_members(self, excluded: set[VmId]) -> list[Member]:
+        # Members that this VM cannot reach directly may still be reachable
+        # for the caller, but rank after those that it can reach.
+        others = [
             member
             for member in self._members.present()
-            if member.vm.id not in taken
+            if member.vm.id not in excluded
         ]
-        return sorted(rest, key=lambda member: not member.direct)
+        return sorted(others, key=lambda member: not member.direct)
--- a/flamingovalve/routing/forward.py
+++ b/flamingovalve/routing/forward.py
@@ -1,4 +1,4 @@
-"""Passes requests to other VMs and their answers back."""
+"""Forwards requests to other VMs and relays the responses."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
     from flamingovalve.relay.work import CompletionWork
 
 _EVENT_END = b'\n\n'
-_END_MARK = b'data: [DONE]'
+_END_MARKER = b'data: [DONE]'
 
 
 @dataclass
 class ForwardCounts:
-    """Requests passed on since this process started."""
+    """Requests forwarded since this process started."""
 
     completions: int = 0
     calls: int = 0
@@ -51,14 +51,14 @@
 
 
 class VmLost(Exception):
-    """The VM that ran a forwarded request went away or fell silent."""
+    """The VM that ran a forwarded request ended or stopped responding."""
 
 
 class Forwarder:
-    """Passes requests to other VMs over the peer protocol."""
+    """Forwards requests to other VMs over the peer protocol."""
 
     def __init__(self, members: MemberTable, peers: PeerPool) -> None:
-        """Reach ``members`` over ``peers``."""
+        """Forward to ``members`` over connections of ``peers``."""
         self.counts = ForwardCounts()
         self._members = members
         self._peers = peers
@@ -70,10 +70,10 @@
         work: CompletionWork,
         sink: Sink,
     ) -> None:
-        """Have another VM run a completion; write its answer to ``sink``.
+        """Have another VM run a completion; write its response to ``sink``.
 
-        :raises VmLost: when that VM cannot be reached or goes away
-        :raises ServingError: when it refuses
+        :raises VmLost: if that VM cannot be reached or the connection fails
+        :raises ServingError: if that VM refuses the request
         """
         self.counts.completions += 1
         try:
@@ -98,8 +98,9 @@
     async def call(self, vm: VmId, request: ServiceRequest) -> Response:
         """Have another VM run a call of a plain service.
 
-        :raises ForwardFailed: when that VM cannot be reached or goes away
-        :raises ServingError: when it refuses
+        :raises ForwardFailed: if that VM cannot be reached, the connection
+            fails or the request's deadline passes
+        :raises ServingError: if that VM refuses the request
         """
         self.counts.calls += 1
         try:
@@ -112,7 +113,7 @@
         try:
             async with curio.timeout_after(max(request.remaining(), 0)):
                 await connection.send(_forward_call(request))
-                response = await _whole_response(connection)
+                response = await _receive_response(connection)
         except (ConnectionLost, WrongPeer, curio.TaskTimeout) as lost:
             self.counts.lost += 1
             await connection.close()
@@ -129,7 +130,7 @@
     async def _connect(self, vm: VmId) -> tuple[PeerConnection, str]:
         member = self._members.by_id.get(vm)
         if member is None:
-            raise PeerUnreachable(f'{vm} is not in the list', ended=False)
+            raise PeerUnreachable(f'{vm} is not a known member', ended=False)
         address = member.vm.peer_address
         return await self._peers.fresh_enough(address, vm), address
 
@@ -139,11 +140,11 @@
         work: CompletionWork,
         sink: Sink,
     ) -> None:
-        head = await _expect(connection, ResponseHead)
+        head = await _receive(connection, ResponseHead)
         headers = _header_list(head.headers)
         streamed = work.stream and _is_stream(headers)
         if not streamed:
-            body = await _body(connection)
+            body = await _receive_body(connection)
             await sink.send(Response(head.status, headers, body))
             return
         if not sink.started:
@@ -151,7 +152,7 @@
         message = await connection.receive(SILENCE_SECONDS)
         while isinstance(message, Chunk):
             await sink.chunk(message.payload)
-            work.offset += _events(message.payload)
+            work.offset += _count_events(message.payload)
             message = await connection.receive(SILENCE_SECONDS)
         _check_end(message)
         await sink.end()
@@ -172,13 +173,13 @@
     )
 
 
-async def _whole_response(connection: PeerConnection) -> Response:
-    head = await _expect(connection, ResponseHead)
-    body = await _body(connection)
+async def _receive_response(connection: PeerConnection) -> Response:
+    head = await _receive(connection, ResponseHead)
+    body = await _receive_body(connection)
     return Response(head.status, _header_list(head.headers), body)
 
 
-async def _body(connection: PeerConnection) -> bytes:
+async def _receive_body(connection: PeerConnection) -> bytes:
     parts = []
     message = await connection.receive(SILENCE_SECONDS)
     while isinstance(message, Chunk):
@@ -188,18 +189,18 @@
     return b''.join(parts)
 
 
-async def _expect(connection: PeerConnection, kind: type) -> Any:
+async def _receive(connection: PeerConnection, kind: type) -> Any:
     message = await connection.receive(SILENCE_SECONDS)
     if isinstance(message, Refusal):
         raise error_of(message)
     if not isinstance(message, kind):
-        raise WrongPeer(f'{type(message).__name__} is out of turn')
+        raise WrongPeer(f'{type(message).__name__} is not expected here')
     return message
 
 
 def _check_end(message: Any) -> None:
     if not isinstance(message, ResponseEnd):
-        raise WrongPeer(f'{type(message).__name__} is out of turn')
+        raise WrongPeer(f'{type(message).__name__} is not expected here')
 
 
 def _header_list(headers: list[Header]) -> list[tuple[str, str]]:
@@ -207,21 +208,21 @@
 
 
 def _is_stream(headers: list[tuple[str, str]]) -> bool:
-    texts = dict(headers)
-    return texts.get('content-type', '').startswith('text/event-stream')
+    texts_by_name = dict(headers)
+    return texts_by_name.get('content-type', '').startswith('text/event-stream')
 
 
-def _events(payload: bytes) -> int:
-    """Count the whole events in a chunk, without the end marker.
+def _count_events(payload: bytes) -> int:
+    """Return the number of events in a chunk, without the end marker.
 
-    The owner passes whole events only, so each separator ends one.
+    The owner sends complete events only, so each separator ends one.
     """
     ended = payload.count(_EVENT_END)
-    return ended - payload.endswith(_END_MARK + _EVENT_END)
+    return ended - payload.endswith(_END_MARKER + _EVENT_END)
 
 
-def missing_vm() -> ServingError:
-    """Give the error of a request whose owner cannot be reached."""
+def owner_unreachable() -> ServingError:
+    """Return the error for a request whose owner cannot be reached."""
     return ServingError(
         ErrorKind.NO_UPSTREAM,
         'the VM that owns the engine cannot be reached; ask /v1/entry again',
--- a/flamingovalve/routing/hot_adapters.py
+++ b/flamingovalve/routing/hot_adapters.py
@@ -1,4 +1,4 @@
-"""Finds adapters that need more than one engine."""
+"""Detection of adapters that need more than one engine."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     from flamingovalve.routing.engines import OwnedEngines
     from flamingovalve.routing.placement import Placement
 
-_WIDEN_SECONDS: Final = 2.0
-_REPEAT_SECONDS: Final = 20.0
-_WIDEST: Final = 8
+_WIDEN_INTERVAL_SECONDS: Final = 2.0
+_REPEAT_INTERVAL_SECONDS: Final = 20.0
+_MAX_SPREAD: Final = 8
 
 
 class HotAdapters:
     """Widens the spread of adapters whose requests wait for seats.
 
-    An adapter gains engines within seconds and loses them only a minute
-    after the last sign of it, so a load that swings does not make
-    adapters come and go.
+    An adapter gains engines within seconds and loses them a minute after
+    the last rumour that it is hot, so fluctuating load does not cause
+    repeated loads and evictions.
     """
 
     def __init__(
@@ -34,36 +34,36 @@
         placement: Placement,
         settings: SchedulingSettings,
     ) -> None:
-        """Watch the queues of ``engines``."""
+        """Detect hot adapters in the queues of ``engines``."""
         self._engines = engines
         self._placement = placement
         self._settings = settings
         self._changed_at: dict[str, float] = {}
 
     def rumours(self) -> Iterator[SpreadRumour]:
-        """Give the news of adapters that are hot now."""
+        """Yield the rumours that are due of adapters that are hot now."""
         for owner in self._engines.owners():
             for name in self._hot_names(owner):
                 yield from self._widen(name)
 
     def _hot_names(self, owner: EngineOwner) -> list[str]:
         scheduler = owner.scheduler
-        longest = self._settings.hot_seconds
-        moment = clock.now()
+        max_wait_seconds = self._settings.hot_seconds
+        now = clock.now()
         return [
             name
             for name in scheduler.queue.names()
             if scheduler.residents.ready(name)
-            and moment - scheduler.queue.head(name).entered_at > longest
+            and now - scheduler.queue.head(name).entered_at > max_wait_seconds
         ]
 
     def _widen(self, name: str) -> Iterator[SpreadRumour]:
-        moment = clock.now()
+        now = clock.now()
         spread = self._placement.spread(name)
-        waited = moment - self._changed_at.get(name, float('-inf'))
-        if spread < _WIDEST and waited > _WIDEN_SECONDS:
+        unchanged_seconds = now - self._changed_at.get(name, float('-inf'))
+        if spread < _MAX_SPREAD and unchanged_seconds > _WIDEN_INTERVAL_SECONDS:
             spread += 1
-        elif waited < _REPEAT_SECONDS:
+        elif unchanged_seconds < _REPEAT_INTERVAL_SECONDS:
             return
-        self._changed_at[name] = moment
+        self._changed_at[name] = now
         yield self._placement.widen(name, spread)
--- a/flamingovalve/routing/ownership.py
+++ b/flamingovalve/routing/ownership.py
@@ -1,4 +1,4 @@
-"""Which VM owns which engine."""
+"""Assignment of engines to the VMs that own them."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class Ownership:
-    """Rendezvous of engines over the VMs that are present.
+    """Assigns engines to the present VMs by rendezvous hashing.
 
-    VMs in the engine's failure domain come first: the usual path then
-    crosses no domain, and the loss of a domain takes owners and engines
-    together instead of the owners of engines elsewhere.
+    VMs in the engine's failure domain come first. Requests then usually
+    cross no domain, and the loss of a domain affects no owners of engines
+    in other domains.
     """
 
     def __init__(self, members: MemberTable) -> None:
-        """Divide engines over ``members``."""
+        """Assign engines to ``members``."""
         self._members = members
         self._order_by_id: dict[EngineId, list[VmId]] = {}
         self._present: list[VmId] = []
 
     def order(self, engine: Engine) -> list[VmId]:
-        """Give the present VMs in the order in which they own ``engine``."""
+        """Return the present VMs in the order of precedence for ``engine``."""
         present = self._members.present_ids()
         if present != self._present:
             self._present = list(present)
@@ -40,23 +40,25 @@
         return order
 
     def owner(self, engine: Engine) -> VmId | None:
-        """Give the VM that owns ``engine``; none if no VM is present."""
+        """Return the VM that owns ``engine``; None if no VM is present."""
         order = self.order(engine)
         return order[0] if order else None
 
     def deputy(self, engine: Engine) -> VmId | None:
-        """Give the VM that would own ``engine`` next."""
+        """Return the VM that takes over next; None if there is none."""
         order = self.order(engine)
         return order[1] if len(order) > 1 else None
 
     def _compute(self, engine: Engine) -> list[VmId]:
-        near = []
-        far = []
+        same_domain = []
+        other_domains = []
         for member in self._members.present():
-            same = member.vm.failure_domain == engine.failure_domain
-            (near if same else far).append(member.vm.id)
+            is_same_domain = member.vm.failure_domain == engine.failure_domain
+            (same_domain if is_same_domain else other_domains).append(
+                member.vm.id
+            )
         ranked = [
-            *hashing.rank(engine.id, near),
-            *hashing.rank(engine.id, far),
+            *hashing.rank(engine.id, same_domain),
+            *hashing.rank(engine.id, other_domains),
         ]
         return [VmId(name) for name in ranked]
--- a/flamingovalve/routing/placement.py
+++ b/flamingovalve/routing/placement.py
@@ -1,4 +1,4 @@
-"""Which engine serves an adapter."""
+"""Placement of adapters on engines."""
 
 from __future__ import annotations
 
@@ -17,48 +17,51 @@
     from flamingovalve.config.inventory import Inventory
     from flamingovalve.generated.ids import ModelId
 
-_CACHED_ORDERS: Final = 20000
-_ORDER_LENGTH: Final = 8
+_MAX_CACHED_ORDERS: Final = 20000
+_MAX_ORDER_LENGTH: Final = 8
 _SPREAD_SECONDS: Final = 60
 
 
 class Placement:
     """Orders the engines of a model for each adapter version.
 
-    Rendezvous keeps an adapter on one engine, so it is loaded once. A hot
-    adapter gets more engines: the owner of its engines says so by a rumour
-    and repeats it while that lasts; without repeats it fades.
+    Rendezvous hashing keeps an adapter on one engine, so it is loaded once.
+    A hot adapter is spread over more engines: an owner of its engines sends
+    a rumour and repeats it while the adapter is hot. Without repetition the
+    spread expires.
     """
 
     def __init__(
         self,
         policy: PlacementPolicy,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Place by ``policy``."""
-        self._chance = chance
-        self._choose = _POLICIES[policy]
+        """Place adapters by ``policy``."""
+        self._rng = rng
+        self._choose = _CHOICE_BY_POLICY[policy]
         self._inventory: Inventory | None = None
         self._orders: OrderedDict[str, list[EngineId]] = OrderedDict()
         self._spreads: dict[str, tuple[float, SpreadRumour]] = {}
-        self.under_way: dict[EngineId, int] = {}
+        self.in_progress_by_engine: dict[EngineId, int] = {}
 
     def replace_inventory(self, inventory: Inventory) -> None:
-        """Place over the engines of ``inventory`` from now on."""
+        """Use the engines of ``inventory`` from now on."""
         previous = self._inventory
         self._inventory = inventory
-        if previous is None or _usable(previous) != _usable(inventory):
+        if previous is None or _usable_engines(previous) != _usable_engines(
+            inventory
+        ):
             self._orders.clear()
 
     def order(self, name: str, model: ModelId) -> list[EngineId]:
-        """Give the first engines of the adapter version ``name``."""
+        """Return the preferred engines of the adapter version ``name``."""
         known = self._orders.get(name)
         if known is not None:
             self._orders.move_to_end(name)
             return known
         order = self._compute(name, model)
         self._orders[name] = order
-        if len(self._orders) > _CACHED_ORDERS:
+        if len(self._orders) > _MAX_CACHED_ORDERS:
             self._orders.popitem(last=False)
         return order
 
@@ -68,31 +71,35 @@
         model: ModelId,
         avoided: set[EngineId],
     ) -> EngineId | None:
-        """Give the engine to try next.
+        """Return the engine to try next, or None if none is left.
 
-        :param avoided: engines that failed this request already
+        :param avoided: engines to leave out, such as those that have failed
+            the request
         """
         candidates = self.candidates(name, model)
-        left = [engine for engine in candidates if engine not in avoided]
-        return self._choose(self, name, left)
+        engine_ids = [engine for engine in candidates if engine not in avoided]
+        return self._choose(self, name, engine_ids)
 
     def candidates(self, name: str, model: ModelId) -> list[EngineId]:
-        """Give every engine that could be chosen, best first."""
+        """Return the engines that may be chosen, most preferred first."""
         return self.order(name, model)
 
     def spread(self, name: str) -> int:
-        """Give the number of engines that an adapter version may use."""
+        """Return the number of engines that an adapter version may use."""
         known = self._spreads.get(name)
         if known is None:
             return 1
-        heard_at, rumour = known
-        if clock.now() - heard_at > _SPREAD_SECONDS:
+        received_at, rumour = known
+        if clock.now() - received_at > _SPREAD_SECONDS:
             del self._spreads[name]
             return 1
         return max(1, rumour.engines)
 
     def hear(self, rumour: SpreadRumour) -> bool:
-        """Take an owner's word on a hot adapter; tell if it was news."""
+        """Record an owner's rumour of a hot adapter.
+
+        :returns: whether the rumour was newer than the known one
+        """
         known = self._spreads.get(rumour.adapter)
         if known is not None and known[1].sequence >= rumour.sequence:
             return False
@@ -100,14 +107,17 @@
         return True
 
     def widen(self, name: str, engines: int) -> SpreadRumour:
-        """Give a hot adapter ``engines`` engines; give the rumour of it."""
+        """Spread a hot adapter over ``engines`` engines.
+
+        :returns: the rumour to send to other VMs
+        """
         sequence = int(clock.wall() * 1000)
         rumour = SpreadRumour(AdapterId(name), engines, sequence)
         self.hear(rumour)
         return rumour
 
     def spreads(self) -> dict[str, int]:
-        """Give the adapters that use more than one engine."""
+        """Return the spread of each adapter that uses more than one engine."""
         return {
             name: self.spread(name)
             for name in list(self._spreads)
@@ -115,9 +125,9 @@
         }
 
     @property
-    def chance(self) -> random.Random:
-        """Give the source of random choices."""
-        return self._chance
+    def rng(self) -> random.Random:
+        """Source of random choices."""
+        return self._rng
 
     def _compute(self, name: str, model: ModelId) -> list[EngineId]:
         if self._inventory is None:
@@ -129,54 +139,56 @@
             for engine_id in engine_ids
             if not engines[engine_id].leaving
         ]
-        ranked = hashing.first(name, usable, _ORDER_LENGTH)
+        ranked = hashing.first(name, usable, _MAX_ORDER_LENGTH)
         return [EngineId(engine_id) for engine_id in ranked]
 
 
 def _by_rendezvous(
     placement: Placement,
     name: str,
-    left: list[EngineId],
+    engine_ids: list[EngineId],
 ) -> EngineId | None:
-    if not left:
+    if not engine_ids:
         return None
-    return placement.chance.choice(left[: placement.spread(name)])
+    return placement.rng.choice(engine_ids[: placement.spread(name)])
 
 
-def _at_random(
+def _by_random_choice(
     placement: Placement,
     _name: str,
-    left: list[EngineId],
+    engine_ids: list[EngineId],
 ) -> EngineId | None:
-    return placement.chance.choice(left) if left else None
+    return placement.rng.choice(engine_ids) if engine_ids else None
 
 
-def _least_loaded(
+def _by_least_load(
     placement: Placement,
     _name: str,
-    left: list[EngineId],
+    engine_ids: list[EngineId],
 ) -> EngineId | None:
-    shuffled = placement.chance.sample(left, len(left))
+    shuffled = placement.rng.sample(engine_ids, len(engine_ids))
     return min(
         shuffled,
-        key=lambda engine: placement.under_way.get(engine, 0),
+        key=lambda engine: placement.in_progress_by_engine.get(engine, 0),
         default=None,
     )
 
 
-_POLICIES: Final[
+_CHOICE_BY_POLICY: Final[
     dict[
         PlacementPolicy,
         Callable[[Placement, str, list[EngineId]], EngineId | None],
     ]
 ] = {
     PlacementPolicy.RENDEZVOUS: _by_rendezvous,
-    PlacementPolicy.RANDOM: _at_random,
-    PlacementPolicy.LEAST_LOADED: _least_loaded,
+    PlacementPolicy.RANDOM: _by_random_choice,
+    PlacementPolicy.LEAST_LOADED: _by_least_load,
 }
 
 
-def _usable(inventory: Inventory) -> dict[ModelId, list[tuple[str, bool]]]:
+def _usable_engines(
+    inventory: Inventory,
+) -> dict[ModelId, list[tuple[str, bool]]]:
     return {
         model: [
             (engine_id, inventory.engines_by_id[engine_id].leaving)
--- a/flamingovalve/routing/router.py
+++ b/flamingovalve/routing/router.py
@@ -1,4 +1,4 @@
-"""Finds the engine and the VM for a completion, and tries again elsewhere."""
+"""Routes completions to an engine and a VM, and retries failed attempts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from flamingovalve.errors import ErrorKind, Ran, ServingError
 from flamingovalve.generated.ids import EngineId, RequestId, VmId
 from flamingovalve.relay.quarantine import Verdict
-from flamingovalve.routing.forward import VmLost, missing_vm
+from flamingovalve.routing.forward import VmLost, owner_unreachable
 from flamingovalve.util import clock
 
 if TYPE_CHECKING:
@@ -31,14 +31,14 @@
     from flamingovalve.routing.ownership import Ownership
     from flamingovalve.routing.placement import Placement
 
-_LONGEST_ROUTE: Final = 2
-_FIRST_PAUSE_SECONDS: Final = 0.05
-_LONGEST_PAUSE_SECONDS: Final = 1.0
-_PATIENCE_SECONDS: Final = 15.0
-_ROUNDS: Final = 2
-_RESTART_SECONDS: Final = 5.0
+_MAX_HOPS: Final = 2
+_INITIAL_PAUSE_SECONDS: Final = 0.05
+_MAX_PAUSE_SECONDS: Final = 1.0
+_MAX_FREE_RETRY_SECONDS: Final = 15.0
+_MAX_ROUNDS: Final = 2
+_MAX_RESTART_SECONDS: Final = 5.0
 
-# Another engine or another moment may do better.
+# A retry, on another engine or later, may succeed.
 _RETRYABLE: Final = frozenset(
     (
         ErrorKind.UPSTREAM_UNREACHABLE,
@@ -55,21 +55,22 @@
     )
 )
 
-# Nothing reached an engine, so trying again adds no load there.
+# Nothing reached an engine, so a retry adds no load to engines.
 _FREE_RETRIES: Final = frozenset(
     (
         ErrorKind.NOT_OWNER,
         ErrorKind.NO_UPSTREAM,
         ErrorKind.LEAVING,
         ErrorKind.UPSTREAM_REFUSED,
-        # Bounded by the quarantine, which refuses after the second crash; those
-        # that ran beside a poison request must not pay for it.
+        # Bounded by the quarantine, which refuses a request after its second
+        # crash. Requests that ran beside a poison request must not use up
+        # their retry budget for its crashes.
         ErrorKind.UPSTREAM_CRASHED,
     )
 )
 
-# Trying the same engine again makes sense once it has a new owner.
-_SAME_ENGINE: Final = frozenset(
+# A retry on the same engine can succeed once it has a new owner.
+_RETRYABLE_ON_SAME_ENGINE: Final = frozenset(
     (
         ErrorKind.NOT_OWNER,
         ErrorKind.NO_UPSTREAM,
@@ -77,8 +78,8 @@
     )
 )
 
-# The engine has too much to do; the next in order may have less.
-_SPILLS: Final = frozenset(
+# The engine is overloaded; the next one in the order may not be.
+_SPILLABLE: Final = frozenset(
     (
         ErrorKind.OVERLOADED,
         ErrorKind.DEADLINE_TOO_SHORT,
@@ -88,7 +89,7 @@
 
 @dataclass
 class RouterCounts:
-    """What the router did since this process started."""
+    """Counters of the router since this process started."""
 
     requests: int = 0
     local: int = 0
@@ -100,7 +101,7 @@
 
 
 class Router:
-    """Serves completions on whichever engine and VM can."""
+    """Routes completions to an engine and the VM that owns it."""
 
     def __init__(
         self,
@@ -112,7 +113,7 @@
         forwarder: Forwarder,
         breakers: BreakerSet,
         budget: RetryBudget,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         """Route by ``placement`` and ``ownership``."""
         self.counts = RouterCounts()
@@ -125,20 +126,20 @@
         self._forwarder = forwarder
         self._breakers = breakers
         self._budget = budget
-        self._chance = chance
+        self._rng = rng
 
     async def serve(self, work: CompletionWork, sink: Sink) -> None:
-        """Serve a completion of a caller.
+        """Serve a completion that a caller sent to this VM.
 
-        :raises ServingError: when it cannot be served
+        :raises ServingError: if it cannot be served
         """
         self.counts.requests += 1
-        attempts = Attempts(self._budget, self._chance, work)
+        attempts = Attempts(self._budget, self._rng, work)
         while True:
             try:
                 await self._attempt(work, sink)
             except ServingError as failed:
-                await self._consider(attempts, failed, sink)
+                await self._handle_failure(attempts, failed, sink)
             else:
                 self._budget.succeeded()
                 return
@@ -149,37 +150,37 @@
         engine_id: EngineId,
         sink: Sink,
     ) -> None:
-        """Serve a completion that another VM passed on.
+        """Serve a completion that another VM forwarded.
 
-        :raises ServingError: when it cannot be served here
+        :raises ServingError: if it cannot be served here
         """
         owner = self._engines.find(engine_id)
         if owner is not None:
-            await self._run_here(owner, work, sink)
+            await self._run_locally(owner, work, sink)
             return
         engine = self.inventory().engines_by_id.get(engine_id)
         vm = self._ownership.owner(engine) if engine else None
-        if work.hops >= _LONGEST_ROUTE or vm in {None, self._own_id}:
-            raise missing_vm()
+        if work.hops >= _MAX_HOPS or vm in {None, self._own_id}:
+            raise owner_unreachable()
         await self._forward(VmId(vm or ''), engine_id, work, sink)
 
     async def _attempt(self, work: CompletionWork, sink: Sink) -> None:
-        self._judge(work)
+        self._check_quarantine(work)
         if work.offset == 0:
-            # Each try has a name of its own, so that a late answer to an
-            # earlier one cannot pass for an answer to this one.
+            # Each attempt has a request ID of its own, so that a late response
+            # to an earlier attempt is not taken for a response to this one.
             work.request_id = RequestId(secrets.token_hex(8))
         engine = self._choose(work)
         vm = self._ownership.owner(engine)
         if vm is None:
-            raise missing_vm()
+            raise owner_unreachable()
         work.engine = EngineId(engine.id)
-        under_way = self._placement.under_way
-        under_way[engine.id] = under_way.get(engine.id, 0) + 1
+        in_progress = self._placement.in_progress_by_engine
+        in_progress[engine.id] = in_progress.get(engine.id, 0) + 1
         try:
             await self._run_at(VmId(vm), engine, work, sink)
         finally:
-            under_way[engine.id] -= 1
+            in_progress[engine.id] -= 1
 
     async def _run_at(
         self,
@@ -190,16 +191,16 @@
     ) -> None:
         owner = self._engines.find(engine.id)
         if owner is not None:
-            await self._run_here(owner, work, sink)
+            await self._run_locally(owner, work, sink)
         elif vm == self._own_id:
-            raise missing_vm()
+            raise owner_unreachable()
         else:
             await self._forward(vm, EngineId(engine.id), work, sink)
 
-    def _judge(self, work: CompletionWork) -> None:
+    def _check_quarantine(self, work: CompletionWork) -> None:
         verdict = self._quarantine.verdict(work.fingerprint)
         if verdict is Verdict.REFUSED:
-            raise _poison(Ran.UNKNOWN if work.request_id else Ran.NOT)
+            raise _poison_request(Ran.UNKNOWN if work.request_id else Ran.NOT)
         work.isolated = verdict is Verdict.SUSPECT
 
     def _choose(self, work: CompletionWork) -> Engine:
@@ -207,7 +208,7 @@
         engines = self.inventory().engines_by_id
         if work.offset and work.engine in engines:
             return engines[work.engine]
-        closed = {
+        unavailable = {
             EngineId(engine_id)
             for engine_id in self._placement.candidates(
                 target.name,
@@ -215,7 +216,7 @@
             )
             if not self._breakers.allows(engines[engine_id].address)
         }
-        for avoided in (work.avoided | closed, work.avoided, set()):
+        for avoided in (work.avoided | unavailable, work.avoided, set()):
             chosen = self._placement.choose(
                 target.name,
                 target.model,
@@ -225,13 +226,13 @@
                 return engines[chosen]
         raise _no_engine(target.model)
 
-    def _left(self, work: CompletionWork) -> bool:
-        """Tell whether some engine has not failed this request yet."""
+    def _has_untried_engine(self, work: CompletionWork) -> bool:
+        """Return whether some engine has not failed this request yet."""
         target = work.target
         engines = self._placement.candidates(target.name, target.model)
         return not work.avoided.issuperset(engines)
 
-    async def _run_here(
+    async def _run_locally(
         self,
         owner: EngineOwner,
         work: CompletionWork,
@@ -261,7 +262,7 @@
         try:
             await self._forwarder.completion(vm, engine_id, work, sink)
         except VmLost as lost:
-            error = missing_vm()
+            error = owner_unreachable()
             error.message = f'{error.message} ({lost})'
             raise error from lost
         except ServingError as failed:
@@ -269,26 +270,28 @@
                 self._quarantine.suspect_remotely(work.fingerprint)
             raise
 
-    async def _consider(
+    async def _handle_failure(
         self,
         attempts: Attempts,
         failed: ServingError,
         sink: Sink,
     ) -> None:
-        """Pause before the next try, or raise ``failed`` for good."""
+        """Prepare the next attempt and pause, or raise ``failed``."""
         work = attempts.work
-        attempts.note(failed)
-        if failed.kind in _SPILLS and attempts.may_spill():
+        attempts.record_failure(failed)
+        if failed.kind in _SPILLABLE and attempts.may_spill():
             self.counts.spills += 1
             work.avoided.add(work.engine)
             return
-        resumable = bool(work.offset) and failed.kind in _SAME_ENGINE
+        resumable = (
+            bool(work.offset) and failed.kind in _RETRYABLE_ON_SAME_ENGINE
+        )
         if sink.started and not resumable:
             self.counts.failed += 1
             raise failed
-        if failed.kind not in _SAME_ENGINE:
+        if failed.kind not in _RETRYABLE_ON_SAME_ENGINE:
             work.avoided.add(work.engine)
-            if not self._left(work):
+            if not self._has_untried_engine(work):
                 attempts.start_round()
         if not attempts.may_retry(failed):
             self.counts.failed += 1
@@ -304,69 +307,75 @@
 
 
 class Attempts:
-    """How often one request may still be tried."""
+    """Limits the attempts of one request."""
 
     def __init__(
         self,
         budget: RetryBudget,
-        chance: random.Random,
+        rng: random.Random,
         work: CompletionWork,
     ) -> None:
-        """Start with a first try of ``work``."""
+        """Create the limits for the first attempt of ``work``."""
         self.work = work
         self._budget = budget
-        self._chance = chance
-        self._pause = _FIRST_PAUSE_SECONDS
+        self._rng = rng
+        self._pause = _INITIAL_PAUSE_SECONDS
         self._started_at = clock.now()
         self._spilled = False
         self._may_have_run = False
         self._rounds = 0
 
-    def note(self, failed: ServingError) -> None:
-        """Let a later refusal tell of an earlier try that may have run."""
+    def record_failure(self, failed: ServingError) -> None:
+        """Record a failed attempt.
+
+        If an earlier attempt may have run, a later refusal says so too.
+        """
         self._may_have_run |= failed.ran is not Ran.NOT
         if self._may_have_run:
             failed.ran = Ran.UNKNOWN
 
     def may_spill(self) -> bool:
-        """Tell whether a request may go to its next engine, once."""
+        """Return whether a request may spill to its next engine.
+
+        A request may spill once, before any output was sent.
+        """
         if self._spilled or self.work.offset:
             return False
         self._spilled = True
         return True
 
     def start_round(self) -> None:
-        """Begin anew after every engine has failed the request."""
+        """Allow all engines again after each has failed the request."""
         self._rounds += 1
         self.work.avoided.clear()
 
     def may_retry(self, failed: ServingError) -> bool:
-        """Tell whether another try makes sense after ``failed``."""
+        """Return whether the request may be retried after ``failed``."""
         if failed.kind not in _RETRYABLE:
             return False
         if self.work.remaining() <= self._pause:
             return False
         if failed.kind is ErrorKind.UPSTREAM_UNREACHABLE:
-            # Nothing was asked to work. An engine that restarts is back
-            # within seconds.
-            return self._waited() < _RESTART_SECONDS
-        if self._rounds >= _ROUNDS:
-            # Every engine has failed it more than once: the caller learns
-            # that now and not at its deadline.
+            # The request did not reach the engine. A restarting engine is
+            # reachable again within seconds.
+            return self._elapsed_seconds() < _MAX_RESTART_SECONDS
+        if self._rounds >= _MAX_ROUNDS:
+            # Every engine has failed the request more than once: report that
+            # to the caller now and not at the deadline.
             return False
         if failed.kind in _FREE_RETRIES:
-            # Someone else takes over within seconds; beyond that the caller
-            # had better learn at once that it should come back later.
-            return self._waited() < _PATIENCE_SECONDS
+            # Another VM takes over within seconds. After that, the caller
+            # is told at once to retry later.
+            return self._elapsed_seconds() < _MAX_FREE_RETRY_SECONDS
         return self._budget.take()
 
-    def _waited(self) -> float:
+    def _elapsed_seconds(self) -> float:
         return clock.now() - self._started_at
 
     async def pause(self) -> None:
-        """Wait, longer each time and with jitter."""
-        await curio.sleep(self._pause * self._chance.uniform(0.5, 1))
-        self._pause = min(self._pause * 2, _LONGEST_PAUSE_SECONDS)
+        """Sleep for a pause that doubles each time, with jitter."""
+        await curio.sleep(self._pause * self._rng.uniform(0.5, 1))
+        self._pause = min(self._pause * 2, _MAX_PAUSE_SECONDS)
 
 
 def _no_inventory() -> Inventory:
@@ -385,7 +394,7 @@
     )
 
 
-def _poison(ran: Ran) -> ServingError:
+def _poison_request(ran: Ran) -> ServingError:
     return ServingError(
         ErrorKind.POISON_REQUEST,
         'this request crashed two engines and is refused; change it, or wait '
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -161,7 +161,7 @@
             share.ended(0.25)
             share.start()
             share.ended(2.0)
-        share.waiting(self, 20)
+        share.record_waiting(self, 20)
         started = sum(share.start() for _load in range(20))
         self.assertLess(started, 8)
 
@@ -175,7 +175,7 @@
         for seconds in (0.0, None, 0.25, 0.25, 0.25):
             share.start()
             share.ended(seconds)
-        share.waiting(self, 20)
+        share.record_waiting(self, 20)
         self.assertEqual(sum(share.start() for _load in range(20)), 8)
 
 
