--- a/flamingovalve/engines/owner.py
+++ b/flamingovalve/engines/owner.py
@@ -62,8 +62,8 @@
     The owner may dispatch until its lease expires. If the engine checks
     fencing numbers, the lease is renewed whenever the engine reports our
     number as its highest; otherwise the deputy renews it. A new owner waits
-    for one lease before its first eviction, by which time the previous
-    owner has stopped dispatching.
+    for the duration of a lease before its first eviction, by which time the
+    previous owner has stopped dispatching.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self.api = api
         self.counts = OwnerCounts()
         self.state = OwnerState.CLAIMING
-        self.loader = AdapterLoader(api, self.current_number)
+        self.loader = AdapterLoader(api, self.current_fencing_number)
         self.scheduler = EngineScheduler(
             api.engine,
             settings.scheduling,
@@ -110,7 +110,7 @@
         self._membership_epoch = membership_epoch
         self._quiet_seconds = self._settings.claim_quiet_seconds
         self._rng = rng
-        self._number = 0
+        self._fencing_number = 0
         self._boot = ''
         self._claimed_at = 0.0
         self._lease_until = clock.now()
@@ -133,9 +133,9 @@
             else:
                 await self._claim_or_wait()
 
-    def current_number(self) -> int:
+    def current_fencing_number(self) -> int:
         """Return the fencing number that orders carry now."""
-        return self._number
+        return self._fencing_number
 
     @property
     def boot(self) -> str:
@@ -143,7 +143,7 @@
         return self._boot
 
     async def end(self, reason: ServingError) -> None:
-        """Return up the engine; requests in progress still finish."""
+        """Stop owning the engine; requests in progress still finish."""
         self.state = OwnerState.ENDED
         await self.scheduler.refuse_all(reason)
 
@@ -234,8 +234,8 @@
         if self.engine.fencing and seen.ok.number is not None:
             if self._claimer_has_ended(seen.ok.number):
                 self._quiet_seconds = 0
-            self._number = self._next_number(seen.ok.number)
-            claimed = await self.api.claim(self._number)
+            self._fencing_number = self._next_number(seen.ok.number)
+            claimed = await self.api.claim(self._fencing_number)
             if claimed.is_error():
                 self.counts.refused_orders += 1
                 return False
@@ -310,7 +310,7 @@
     def _is_superseded(self, number: int | None) -> bool:
         if not self.engine.fencing or number is None:
             return False
-        return number > self._number
+        return number > self._fencing_number
 
     async def _lose(self) -> None:
         self.counts.lost += 1
--- a/flamingovalve/engines/scheduler.py
+++ b/flamingovalve/engines/scheduler.py
@@ -281,8 +281,8 @@
                 await self._load(name, victim)
                 started += 1
         self._store.record_waiting(self, len(wanted) - started)
-        # Only loads without a slot drain an adapter. Holding requests back
-        # for a load that waits for the store would idle the engine.
+        # Drain only for loads that lack a slot. Holding requests back for a
+        # load that waits for the store would idle the engine.
         self._drain_for(blocked_names)
 
     def _drain_for(self, blocked_names: list[str]) -> None:
--- a/flamingovalve/engines/store.py
+++ b/flamingovalve/engines/store.py
@@ -111,12 +111,7 @@
         use = (self.loading, self.wanted())
         if (
             now < self._announced_at + _RUMOUR_INTERVAL_SECONDS
-            or use
-            == self._announced_use
-            == (
-                0,
-                0,
-            )
+            or use == self._announced_use == (0, 0)
         ):
             return None
         self._announced_use = use
--- a/tests/rig/fleet.py
+++ b/tests/rig/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet: daemons, stand-ins and callers in one world."""
+"""A simulated fleet of daemons, stand-ins and callers."""
 
 from __future__ import annotations
 
@@ -35,10 +35,14 @@
 
 @dataclass
 class Shape:
-    """Sizes of a fleet.
+    """Size and options of a fleet.
 
-    :ivar domains: failure domains; VMs and engines are dealt over them
+    :ivar domains: failure domains; VMs and engines are assigned to them in
+        rotation
+    :ivar slots: adapters that each engine can hold
+    :ivar batch: requests that each engine runs at a time
     :ivar tune: changes the settings of each daemon before it starts
+    :ivar extra: further content of the inventory
     """
 
     vms: int = 3
@@ -57,7 +61,7 @@
 
 @dataclass
 class Vm:
-    """One entry VM of the fleet and the process that runs on it now."""
+    """One VM of the fleet and the process that runs on it, if any."""
 
     id: str
     domain: str
@@ -70,10 +74,10 @@
 
 
 class Caller:
-    """Sends requests as an application does."""
+    """Sends requests on behalf of an application."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
-        """Call from a node of its own."""
+        """Add a node of its own for the caller."""
         self.network = FaultNetwork(fleet.links, name)
         self.node = fleet.world.add(name, self.network)
         self._fleet = fleet
@@ -84,7 +88,7 @@
         call: UpstreamCall,
         seconds: float = 120,
     ) -> Response:
-        """Send one request and wait for its whole answer."""
+        """Send one request and wait for the complete response."""
         return self._fleet.world.ask(
             self.node,
             self.exchange,
@@ -100,7 +104,7 @@
         call: UpstreamCall,
         seconds: float = 120,
     ) -> curio.Task:
-        """Send one request and do not wait."""
+        """Send one request without waiting for the response."""
         return self.node.spawn(self._attempt, address, call, seconds)
 
     async def _attempt(
@@ -120,7 +124,7 @@
         call: UpstreamCall,
         seconds: float,
     ) -> Response:
-        """Send one request on a connection of its own."""
+        """Send one request on a new connection."""
         pool = ConnectionPool(self.network, RelaySettings())
         response = await pool.exchange(address, call, seconds, fresh=True)
         await pool.close()
@@ -128,10 +132,10 @@
 
 
 class Fleet:
-    """Everything that one test runs."""
+    """The daemons, stand-ins, links and callers of one test."""
 
     def __init__(self, shape: Shape) -> None:
-        """Start the stand-ins and publish the inventory; no daemon yet."""
+        """Start the stand-ins and publish the inventory; start no daemon."""
         self.shape = shape
         self.world = World()
         self.links = Links(shape.seed, self.world.traffic)
@@ -168,7 +172,7 @@
 
     @classmethod
     def started(cls, shape: Shape | None = None) -> Fleet:
-        """Give a fleet whose daemons are all ready."""
+        """Return a fleet whose daemons are ready."""
         fleet = cls(shape or Shape())
         for vm_id in fleet.vms_by_id:
             fleet.start(vm_id)
@@ -178,7 +182,7 @@
     # -- Processes
 
     def start(self, vm_id: str) -> Daemon:
-        """Start a process on a VM, as its first or in place of a dead one."""
+        """Start a process on a VM, the first one or after a kill."""
         vm = self.vms_by_id[vm_id]
         vm.starts += 1
         network = FaultNetwork(self.links, vm_id)
@@ -196,7 +200,7 @@
         return vm.daemon
 
     def settings(self, vm: Vm) -> Settings:
-        """Give the settings of one VM."""
+        """Return the settings of one VM."""
         settings = Settings()
         settings.vm.id = VmId(vm.id)
         settings.vm.failure_domain = vm.domain  # type: ignore[assignment]
@@ -211,7 +215,7 @@
         return settings
 
     def kill(self, vm_id: str) -> None:
-        """End the process of a VM as SIGKILL does."""
+        """Kill the process of a VM, as SIGKILL does."""
         vm = self.vms_by_id[vm_id]
         if vm.node is not None:
             self.world.kill(vm.node)
@@ -219,21 +223,21 @@
         vm.daemon = None
 
     def pause(self, vm_id: str) -> None:
-        """Stop the process of a VM as SIGSTOP does."""
+        """Pause the process of a VM, as SIGSTOP does."""
         self._node(vm_id).paused = True
 
     def wake(self, vm_id: str) -> None:
-        """Let a paused process go on."""
+        """Resume the paused process of a VM, as SIGCONT does."""
         self._node(vm_id).paused = False
 
     def daemon(self, vm_id: str) -> Daemon:
-        """Give the process that runs on a VM."""
+        """Return the process that runs on a VM."""
         daemon = self.vms_by_id[vm_id].daemon
         assert daemon is not None, f'{vm_id} is not running'
         return daemon
 
     def daemons(self) -> list[Daemon]:
-        """Give every running process."""
+        """Return the processes of all VMs that run one."""
         return [
             vm.daemon for vm in self.vms_by_id.values() if vm.daemon is not None
         ]
@@ -244,14 +248,14 @@
         assert ready, 'the fleet did not settle'
 
     def is_settled(self) -> bool:
-        """Tell whether each engine has exactly one owner that may dispatch."""
+        """Return whether one VM, and no other, may dispatch to each engine."""
         owners = self.owners()
         return all(
             len(owners[engine_id]) == 1 for engine_id in self.engines_by_id
         )
 
     def owners(self) -> dict[str, list[str]]:
-        """Give the VMs that may dispatch to each engine."""
+        """Return the VMs that may dispatch to each engine."""
         found: dict[str, list[str]] = {
             engine_id: [] for engine_id in self.engines_by_id
         }
@@ -262,7 +266,7 @@
         return found
 
     def close(self) -> None:
-        """End everything."""
+        """Stop all nodes of the fleet."""
         self.world.close()
 
     # -- Configuration
@@ -276,16 +280,16 @@
         return self.version
 
     def announce(self) -> None:
-        """Let the watchers of the configuration service look again."""
+        """Notify the watchers of the configuration service."""
         node = self.node_named('configuration')
         node.spawn(self.configuration.announce)
 
     def node_named(self, name: str) -> Node:
-        """Give the node of a stand-in or a VM."""
+        """Return the node of a stand-in or a VM."""
         return next(node for node in self.world.nodes if node.name == name)
 
     def publish_list(self, without: Iterable[str] = ()) -> None:
-        """Publish the next list of VMs."""
+        """Publish the next revision of the list of VMs."""
         self.list_revision += 1
         vms = [
             {
@@ -305,7 +309,7 @@
         self.announce()
 
     def page(self) -> dict[str, list[Any]]:
-        """Give the content of the inventory."""
+        """Return the content of the inventory."""
         shape = self.shape
         allowed = [APPLICATION, OTHER_APPLICATION, 'urgent', 'brand']
         return {
@@ -363,21 +367,21 @@
         prompt: str = 'hello',
         **options: Any,
     ) -> Response:
-        """Send a completion to a VM and wait for its answer."""
+        """Send a completion to a VM and wait for the response."""
         return self.caller.send(
             self.vms_by_id[vm_id].http_address,
             completion_call(model, prompt, **options),
         )
 
     def pay(self, vm_id: str, key: str, order: str = 'one') -> Response:
-        """Make a call that must not run twice."""
+        """Send a non-idempotent call to a VM and wait for the response."""
         return self.caller.send(
             self.vms_by_id[vm_id].http_address,
             pay_call(key, order),
         )
 
     def permit(self, vm_id: str) -> str:
-        """Ask a VM for a permit of that call."""
+        """Request a permit for a non-idempotent call from a VM."""
         target = f'/v1/entry?service=orders&call=pay&application={APPLICATION}'
         response = self.caller.send(
             self.vms_by_id[vm_id].http_address,
@@ -417,7 +421,7 @@
     application: str = APPLICATION,
     **options: Any,
 ) -> UpstreamCall:
-    """Give the request for a completion."""
+    """Return the request for a completion."""
     headers = [('authorization', f'Bearer {application}')]
     deadline = options.pop('deadline', None)
     if deadline is not None:
@@ -436,7 +440,7 @@
 
 
 def pay_call(key: str, order: str = 'one') -> UpstreamCall:
-    """Give the request for a call that must not run twice."""
+    """Return the request for a non-idempotent call."""
     headers = [('authorization', f'Bearer {APPLICATION}')]
     if key:
         headers.append(('idempotency-key', key))
@@ -449,17 +453,20 @@
 
 
 def outcome_of(task: curio.Task) -> Response | Exception | None:
-    """Give the answer or the failure of a request that was started."""
+    """Return the response or the error of a started request.
+
+    None if the request has not ended.
+    """
     if not task.terminated:
         return None
     return task.result
 
 
 def error_type(response: Response) -> str:
-    """Give the type of the error that a response reports."""
+    """Return the error type in a response."""
     return json.loads(response.body)['error']['type']
 
 
 def ran(response: Response) -> str:
-    """Give what a refusal says of the run of its request."""
+    """Return the ``ran`` field of a refusal."""
     return json.loads(response.body)['error']['ran']
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes: signals, the command-line tool, an OpenAI client."""
+"""Daemons as processes: signals, command-line tool, OpenAI client."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def tool(*arguments):
-    """Run the command-line tool; give its status and output."""
+    """Run the command-line tool; return its exit status and output."""
     finished = subprocess.run(
         [sys.executable, '-m', TOOL, *arguments],
         capture_output=True,
@@ -34,13 +34,13 @@
 
     @classmethod
     def setUpClass(cls):
-        """Start the processes."""
+        """Start the processes of the fleet."""
         cls.fleet = Processes(SHAPE).__enter__()
         cls.fleet.wait_ready()
 
     @classmethod
     def tearDownClass(cls):
-        """End them."""
+        """Stop the processes of the fleet."""
         cls.fleet.__exit__(None, None, None)
 
     def test_unmodified_openai_client(self):
@@ -112,7 +112,7 @@
         self.assertEqual((status, 'no fault' in output), (0, True))
 
     def test_drain_and_sigterm_end_with_status_0(self):
-        """Operators drain one VM and terminate another; both end well."""
+        """A drained VM and a terminated one both exit with status 0."""
         for vm, end in (
             (
                 self.fleet.vms[1],
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""What an engine runs, loads and evicts next, under load and faults."""
+"""Scheduling of one engine under load and faults."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 
 class SchedulingCase(unittest.TestCase):
-    """One engine behind one VM."""
+    """One engine owned by one VM."""
 
     shape = Shape(vms=1, engines=1, adapters=40, slots=4, batch=8)
 
     def setUp(self):
-        """Start a fleet."""
+        """Start a fleet and let it run for 8 s."""
         self.fleet = Fleet.started(self.shape)
         self.addCleanup(self.fleet.close)
         self.fleet.world.advance(8)
         self.engine = self.fleet.engines_by_id['engine-0']
 
     def start(self, adapter, application='studio', **options):
-        """Send a completion and do not wait."""
+        """Send a completion without waiting for the response."""
         address = self.fleet.vms_by_id['vm-0'].http_address
         call = completion_call(
             f'adapter-{adapter}',
@@ -43,7 +43,7 @@
         return self.fleet.caller.start(address, call, 119)
 
     def seconds_of(self, task):
-        """Wait for a request and give how long it took from now."""
+        """Wait for a request; return the seconds that it took from now."""
         started = self.fleet.world.moment
         done = self.fleet.world.run_until(lambda: task.terminated, 120)
         self.assertTrue(done)
@@ -51,16 +51,16 @@
         return self.fleet.world.moment - started
 
     def scheduler(self):
-        """Give the scheduler of the engine."""
+        """Return the scheduler of the engine."""
         owner = self.fleet.daemon('vm-0').engines.find('engine-0')
         return owner.scheduler
 
 
 class SlotsTest(SchedulingCase):
-    """Fewer slots than adapters that are asked for."""
+    """More adapters are requested than the engine has slots."""
 
     def flood(self, adapters, seconds, rate):
-        """Keep sending ordinary requests for some adapters."""
+        """Send ordinary requests for some adapters at a constant rate."""
         tasks = []
         for turn in range(int(seconds * rate)):
             tasks.append(self.start(turn % adapters, max_tokens=40))
@@ -68,10 +68,10 @@
         return tasks
 
     def test_urgent_request_gets_a_slot_in_a_flood(self):
-        """Every slot holds an adapter that always has a request waiting.
+        """Every slot holds an adapter that always has a request queued.
 
-        A status answer that needs another adapter must not wait until the
-        flood is over. (Found by the benchmark: 17 s at the 99th percentile.)
+        An urgent request for another adapter must not wait until the flood
+        is over; such requests once waited 17 s at the 99th percentile.
         """
         self.flood(4, seconds=6, rate=20)
         self.start(30, 'urgent', max_tokens=5)
@@ -81,9 +81,9 @@
         self.assertEqual(outcome_of(urgent).status, OK)
 
     def test_ordinary_requests_are_not_starved(self):
-        """Urgent requests alone would fill the engine for a long time.
+        """Urgent requests alone would use all seats of the engine.
 
-        An ordinary one gets its turn after the starvation time.
+        An ordinary request is dispatched after the starvation time.
         """
         ordinary = None
         for turn in range(600):
@@ -95,10 +95,9 @@
         self.assertEqual(outcome_of(ordinary).status, OK)
 
     def test_each_adapter_is_loaded_once_while_it_fits(self):
-        """Reports lag behind loads.
+        """A report that was taken before a load ended lacks the adapter.
 
-        A report from before a load's end must not be taken for proof that
-        the engine lost the adapter. (Found by the benchmark.)
+        It must not make the scheduler load the adapter a second time.
         """
         for _turn in range(20):
             for adapter in range(4):
@@ -107,10 +106,10 @@
         self.fleet.world.advance(10)
         self.assertEqual(self.scheduler().counts.loads, 4)
 
-    def test_rare_adapter_gives_way_to_frequent_ones(self):
-        """Three adapters are asked for all the time, others once each.
+    def test_rare_adapter_is_evicted_before_frequent_ones(self):
+        """Three adapters are requested all the time, others once each.
 
-        Those asked for once come and go; the frequent ones stay.
+        Those requested once are evicted; the frequent ones stay loaded.
         """
         for turn in range(30):
             for adapter in range(3):
@@ -123,15 +122,15 @@
 
 
 class StoreTest(SchedulingCase):
-    """The weight store limits loads."""
+    """Loads are limited by the weight store."""
 
     shape = Shape(vms=1, engines=1, adapters=60, slots=40, batch=8)
 
     def test_slow_store_does_not_idle_ready_adapters(self):
-        """Many adapters wait for the store; free slots are there.
+        """Many adapters wait for the store while slots are free.
 
-        Requests for adapters that are ready go on. (Found by the benchmark:
-        they were held back as if slots were missing.)
+        Requests for ready adapters must still be dispatched. They were held
+        back when loads that wait for the store counted as lacking a slot.
         """
         self.seconds_of(self.start(0))
         self.fleet.store.slowdown = 20
@@ -140,10 +139,11 @@
         self.fleet.world.advance(1)
         self.assertLess(self.seconds_of(self.start(0, max_tokens=5)), 2)
 
-    def test_store_that_is_slow_for_all_is_not_our_overload(self):
-        """Every load takes three times as long, however few there are.
+    def test_uniformly_slow_store_does_not_shrink_the_share(self):
+        """Every load takes three times as long, however few are running.
 
-        Fewer loads would not make it faster; the share recovers.
+        Starting fewer loads would not make them faster, so the share
+        recovers.
         """
         share = StoreShare('vm-0', SchedulingSettings())
         for _load in range(60):
@@ -153,8 +153,8 @@
             self.assertTrue(share.start())
         self.assertFalse(share.start())
 
-    def test_store_that_slows_under_our_loads_is_spared(self):
-        """Loads take longer the more there are: fewer are started."""
+    def test_store_that_slows_under_load_gets_fewer_loads(self):
+        """Loads take longer the more are running, so fewer are started."""
         share = StoreShare('vm-0', SchedulingSettings())
         for _load in range(10):
             share.start()
@@ -165,11 +165,11 @@
         started = sum(share.start() for _load in range(20))
         self.assertLess(started, 8)
 
-    def test_failed_and_instant_loads_teach_nothing(self):
-        """An engine that held the adapter already answers at once.
+    def test_failed_and_instant_loads_are_not_measured(self):
+        """An engine that already holds the adapter answers at once.
 
-        Taken for the store's speed, every real load would look slow for
-        good. (Found by the benchmark.)
+        If such a load counted as the store's speed, every real load would
+        look slow from then on, and the share would stay too small.
         """
         share = StoreShare('vm-0', SchedulingSettings())
         for seconds in (0.0, None, 0.25, 0.25, 0.25):
@@ -185,7 +185,7 @@
     shape = Shape(vms=3, engines=4, adapters=60, slots=12, batch=8)
 
     def test_every_request_is_answered(self):
-        """All engines come back empty while requests keep coming."""
+        """All engines restart empty while requests keep arriving."""
         for engine in self.fleet.engines_by_id.values():
             self.fleet.node_named(engine.name).spawn(engine.crash)
         tasks = []
@@ -203,15 +203,16 @@
 
 
 class OverloadTest(SchedulingCase):
-    """More work than the engine can do."""
+    """More requests than the engine can serve."""
 
     shape = Shape(vms=1, engines=1, adapters=4, slots=4, batch=4)
 
-    def test_refusals_come_at_once_and_say_when_to_come_back(self):
-        """Five times the capacity for ten seconds.
+    def test_overload_is_refused_at_once_with_retry_after(self):
+        """Requests arrive at five times the capacity for ten seconds.
 
-        What can be done in time is done; the rest is refused at once, as
-        not run, with Retry-After; nobody waits just to be refused.
+        Those that can meet their deadline are served. The others are refused
+        at once, as not run and with Retry-After, instead of being refused
+        after a wait.
         """
         tasks = []
         for turn in range(400):
@@ -231,7 +232,7 @@
             self.assertGreaterEqual(int(answer.header('retry-after')), 1)
 
     def test_queue_is_bounded(self):
-        """The queue of an engine has a limit; beyond it: come back later."""
+        """Requests over the limit of an engine's queue are refused."""
         self.seconds_of(self.start(0))
         self.fleet.daemon('vm-0').settings.limits.queue_requests = 5
         tasks = [self.start(0, max_tokens=100) for _turn in range(12)]
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -1,4 +1,4 @@
-"""Any VM may die, pause, be cut off or replaced, and the service goes on."""
+"""Ownership of engines settles after VMs fail, pause or are partitioned."""
 
 from __future__ import annotations
 
@@ -27,38 +27,38 @@
     )
 
     def setUp(self):
-        """Start a fleet that has run for a while."""
+        """Start a fleet and let it run for 20 s."""
         self.fleet = Fleet.started(self.shape)
         self.addCleanup(self.fleet.close)
         self.fleet.world.advance(20)
 
     def settle(self, seconds):
-        """Wait until every engine has one owner; give how long it took."""
+        """Wait until every engine has one owner; return the seconds it took."""
         started = self.fleet.world.moment
         settled = self.fleet.world.run_until(self.fleet.is_settled, seconds)
         self.assertTrue(settled, self.fleet.owners())
         return self.fleet.world.moment - started
 
     def owner(self, engine='engine-0'):
-        """Give the VM that owns an engine."""
+        """Return the VM that owns an engine."""
         return self.fleet.owners()[engine][0]
 
-    def other_than(self, *taken):
-        """Give a running VM that is none of those."""
+    def other_than(self, *excluded):
+        """Return a running VM that is not among ``excluded``."""
         return next(
             vm_id
             for vm_id, vm in self.fleet.vms_by_id.items()
-            if vm.node is not None and vm_id not in taken
+            if vm.node is not None and vm_id not in excluded
         )
 
     def serve_all(self, vm_id):
-        """Check that a VM gets every adapter served."""
+        """Check that requests for every adapter succeed through a VM."""
         for index in range(self.shape.adapters):
             response = self.fleet.complete(vm_id, f'adapter-{index}')
             self.assertEqual(response.status, OK, response.body)
 
     def evicted_in_use(self):
-        """Give how many adapters were evicted while in use."""
+        """Return the number of adapters evicted while in use."""
         return sum(
             engine.counted.evicted_in_use
             for engine in self.fleet.engines_by_id.values()
@@ -66,13 +66,13 @@
 
 
 class LostVmTest(SettlingCase):
-    """VMs end, stop and come back."""
+    """VMs are killed, paused, resumed or replaced."""
 
-    def test_owner_dies(self):
-        """The VM that owns an engine dies.
+    def test_owner_is_killed(self):
+        """The VM that owns an engine is killed.
 
-        Its share moves to others within a few seconds; nobody else's does,
-        and a request sent meanwhile is late but answered.
+        Within a few seconds its engines, and no others, get new owners. A
+        request sent before that is delayed but succeeds.
         """
         before = self.fleet.owners()
         owner = self.owner()
@@ -91,11 +91,11 @@
         self.assertEqual(moved, lost)
         self.serve_all(self.other_than(owner))
 
-    def test_full_engine_serves_on_after_its_owner_died(self):
-        """The dead owner's engine has no free slot.
+    def test_full_engine_evicts_after_its_owner_is_killed(self):
+        """The engine of a killed owner has no free slot.
 
-        Its new owner has seen for itself that the old process is gone, so
-        it evicts at once instead of waiting for a lease to end.
+        The new owner knows that the previous process has ended, so it
+        evicts at once instead of waiting until the lease expires.
         """
         placement = self.fleet.daemon('vm-0').placement
         names_by_engine = {engine: [] for engine in self.fleet.engines_by_id}
@@ -120,10 +120,10 @@
         self.assertEqual(response.status, OK)
         self.assertLess(self.fleet.world.moment - started, 4.5)
 
-    def test_failure_domain_dies(self):
-        """All VMs of one failure domain die at once.
+    def test_failure_domain_is_killed(self):
+        """All VMs of one failure domain are killed at once.
 
-        Its engines are alive and get owners in other domains.
+        Its engines keep running and get owners in other domains.
         """
         lost = [
             vm.id
@@ -135,10 +135,10 @@
         self.settle(15)
         self.serve_all(self.other_than(*lost))
 
-    def test_replaced_vm_is_another(self):
-        """A VM is replaced at the same address within a second.
+    def test_replaced_vm_takes_over(self):
+        """The process of a VM is replaced at the same address within 1 s.
 
-        The new process takes the old one's share without a hitch.
+        The new process takes over the engines of the previous one.
         """
         owner = self.owner()
         self.fleet.kill(owner)
@@ -149,11 +149,11 @@
         self.assertEqual(self.owner(), owner)
         self.serve_all(owner)
 
-    def test_frozen_owner_wakes_late(self):
-        """The owner of an engine is stopped for a minute and wakes.
+    def test_paused_owner_resumes_after_a_takeover(self):
+        """The owner of an engine is paused for a minute and resumes.
 
-        Another VM has taken over. The old owner still believes to own the
-        engine; it must notice before it dispatches or evicts anything.
+        Another VM has taken over the engine by then. The old owner must
+        detect that before it dispatches or evicts anything.
         """
         owner = self.owner()
         self.fleet.pause(owner)
@@ -169,10 +169,10 @@
         self.assertEqual(late, 1)
 
     def test_flapping_vm_does_not_move_ownership_each_time(self):
-        """A VM stops and wakes again and again.
+        """A VM is paused and resumed repeatedly.
 
-        Each return makes it wait longer before it counts, so engines do
-        not change hands at every turn.
+        After each return the VM waits longer before it is present again, so
+        its engines do not change owners each time.
         """
         owner = self.owner()
         claims = 0
@@ -194,13 +194,14 @@
 
 
 class LinkTest(SettlingCase):
-    """Links between VMs are cut, one way or both."""
+    """Links between VMs are cut, in one or both directions."""
 
     def test_partition_and_healing(self):
-        """The fleet is split in two for a while; both parts serve.
+        """The fleet is partitioned in two for a while; both parts serve.
 
-        While it lasts, an engine obeys one owner, and no adapter in use is
-        evicted. When it heals, each engine has one owner again.
+        During the partition an engine accepts orders of one owner only, and
+        no adapter in use is evicted. After it heals, each engine has one
+        owner again.
         """
         ids = list(self.fleet.vms_by_id)
         self.fleet.links.partition(ids[:5], ids[5:])
@@ -217,11 +218,11 @@
         self.assertEqual(self.evicted_in_use(), 0)
         self.serve_all(ids[0])
 
-    def test_half_open_link_changes_nothing(self):
-        """A VM hears another that does not hear it.
+    def test_one_way_link_changes_no_owner(self):
+        """Messages pass between two VMs in one direction only.
 
-        Others vouch for both, so neither is taken for dead and no engine
-        changes hands; requests go round the broken path.
+        Other VMs confirm that both are alive, so neither is declared dead
+        and no engine changes owners. Requests avoid the broken link.
         """
         before = self.fleet.owners()
         owner = self.owner()
@@ -233,9 +234,9 @@
         self.assertEqual(response.status, OK)
 
     def test_loss_of_datagrams(self):
-        """One datagram in twenty is lost, for ten minutes.
+        """One datagram in twenty is lost for ten minutes.
 
-        Suspicions arise and are refuted; ownership does not move.
+        Suspicions are raised and refuted; ownership does not change.
         """
         before = self.fleet.owners()
         self.fleet.links.loss = 0.05
@@ -243,7 +244,7 @@
         self.assertEqual(self.fleet.owners(), before)
 
     def test_owner_is_cut_off_from_its_engine(self):
-        """A VM cannot reach an engine that it owns, but all else works.
+        """A VM cannot reach an engine that it owns; all other links work.
 
         Requests for it are served by other engines.
         """
@@ -254,24 +255,24 @@
 
 
 class FencingTest(SettlingCase):
-    """Two VMs believe to own the same engine."""
+    """Two VMs consider themselves owners of the same engine."""
 
     def split(self):
-        """Part the owner of engine-0 from all other VMs."""
+        """Partition the owner of engine-0 from all other VMs."""
         owner = self.owner()
         others = [vm for vm in self.fleet.vms_by_id if vm != owner]
         self.fleet.links.partition([owner], others)
         return owner, others[0]
 
-    def test_old_owner_obeys(self):
+    def test_old_owner_stops_after_a_takeover(self):
         """The engine checks fencing numbers.
 
-        After the new owner's claim, none of the old one's orders takes
-        effect; it notices and stops.
+        After the new owner's claim, the engine refuses every order of the
+        old owner, which detects that and stops.
         """
         owner = self.owner()
         mine = self.fleet.daemon(owner).engines.find('engine-0')
-        old_number = mine._number
+        old_number = mine._fencing_number
         self.split()
         engine = self.fleet.engines_by_id['engine-0']
         self.fleet.world.advance(15)
@@ -290,15 +291,15 @@
             daemon.settings.vm.id
             for daemon in self.fleet.daemons()
             if (entry := daemon.engines.find('engine-0')) is not None
-            and entry._number == engine.number
+            and entry._fencing_number == engine.number
         ]
         self.assertEqual(len(holding), 1)
 
     def test_long_request_of_the_old_owner_survives(self):
-        """A review runs at the old owner while a new one takes over.
+        """A long request runs at the old owner while a new one takes over.
 
-        The new owner's requests need slots; it must not take the one that
-        the review uses.
+        The new owner's requests need slots; it must not evict the adapter
+        that the long request uses.
         """
         owner = self.owner()
         names = [f'adapter-{index}' for index in range(24)]
@@ -309,7 +310,7 @@
             if placement.order(f'{name}@2', 'base')[0] == 'engine-0'
         ]
         address = self.fleet.vms_by_id[owner].http_address
-        review = self.fleet.caller.start(
+        long_request = self.fleet.caller.start(
             address,
             completion_call(mine[0], 'review', max_tokens=2500),
         )
@@ -319,13 +320,15 @@
             name = mine[1 + turn % (len(mine) - 1)]
             self.fleet.complete(other, name, f'{turn}')
             self.fleet.world.advance(0.5)
-        self.fleet.world.run_until(lambda: review.terminated, 100)
-        self.assertEqual(outcome_of(review).status, OK, outcome_of(review))
+        self.fleet.world.run_until(lambda: long_request.terminated, 100)
+        self.assertEqual(
+            outcome_of(long_request).status, OK, outcome_of(long_request)
+        )
         self.assertEqual(self.evicted_in_use(), 0)
 
 
 class NoFencingTest(FencingTest):
-    """The same on engines that ignore fencing numbers."""
+    """Runs the fencing tests on engines that ignore fencing numbers."""
 
     shape = Shape(
         vms=12,
@@ -335,10 +338,10 @@
         fencing=False,
     )
 
-    def test_old_owner_obeys(self):
-        """The engine ignores fencing numbers; the part with a quorum owns it.
+    def test_old_owner_stops_after_a_takeover(self):
+        """The engine is owned by the part of the fleet with a quorum.
 
-        The old owner, cut off from the others, stops dispatching before
+        The old owner, partitioned from the others, stops dispatching before
         the new one evicts anything.
         """
         owner, other = self.split()
@@ -352,7 +355,7 @@
 
 
 class LeavingTest(SettlingCase):
-    """VMs and engines leave in an orderly way."""
+    """VMs and engines are taken out of service in an orderly way."""
 
     shape = Shape(
         vms=20,
@@ -362,21 +365,21 @@
     )
 
     def leave(self, vm_id):
-        """Have a VM leave."""
+        """Make a VM begin to leave."""
         self.fleet.world.ask(
             self.fleet.vms_by_id[vm_id].node,
             self.fleet.daemon(vm_id).begin_leaving,
         )
 
-    def test_no_new_work_and_nothing_cut_off(self):
-        """A VM leaves while it works; the published list lags 30 s.
+    def test_leaving_vm_finishes_its_requests(self):
+        """A VM leaves while it runs a request; the published list lags 30 s.
 
-        After a few seconds no answer names it and it refuses new work as
-        not run. What it has is finished before it ends.
+        After a few seconds no VM counts it as present, and it refuses new
+        requests as not run. It finishes its requests before it ends.
         """
         owner = self.owner()
         address = self.fleet.vms_by_id[owner].http_address
-        long_one = self.fleet.caller.start(
+        long_task = self.fleet.caller.start(
             address,
             completion_call('adapter-1', 'long', max_tokens=600),
         )
@@ -388,8 +391,8 @@
         refused = self.fleet.complete(owner, 'adapter-2')
         self.assertEqual(error_type(refused), 'leaving')
         self.assertEqual(ran(refused), 'no')
-        self.fleet.world.run_until(lambda: long_one.terminated, 60)
-        self.assertEqual(outcome_of(long_one).status, OK)
+        self.fleet.world.run_until(lambda: long_task.terminated, 60)
+        self.assertEqual(outcome_of(long_task).status, OK)
         daemon = self.fleet.daemon(owner)
         self.assertTrue(
             self.fleet.world.run_until(daemon.stopped.is_set, 10),
@@ -397,9 +400,10 @@
         self.settle(15)
 
     def test_leaving_engine_gets_no_new_work(self):
-        """The inventory takes an engine out of service.
+        """The inventory marks an engine as leaving.
 
-        What it runs is finished; requests go to others within seconds.
+        The engine finishes its requests; new ones go to other engines
+        within seconds.
         """
         first = self.fleet.caller.start(
             self.fleet.vms_by_id['vm-0'].http_address,
