--- a/flamingovalve/membership/__init__.py
+++ b/flamingovalve/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which VMs are there, by gossip and the published list."""
+"""Fleet membership, from gossip and the published list of VMs."""
--- a/flamingovalve/membership/gossip.py
+++ b/flamingovalve/membership/gossip.py
@@ -1,8 +1,8 @@
 """SWIM-style membership over UDP.
 
-Each VM probes one other a period, asks a few others to probe for it when no
-answer comes, and piggybacks news on those messages. Cost per VM is constant
-whatever the fleet's size.
+Each VM probes one other VM per period. If no ack arrives, it asks a few other
+VMs to probe the target on its behalf. Rumours are piggybacked on these
+messages. The cost per VM does not depend on the size of the fleet.
 """
 
 from __future__ import annotations
@@ -47,18 +47,26 @@
 logger = get_logger(__name__)
 
 _RUMOURS_PER_DATAGRAM = 8
-_RUMOURS_PER_WELCOME = 24
-_DATAGRAM_BYTES = 65536
-# Members that each probe names, so that lost news of one comes again.
-_STANDING_MEMBERS = 2
-# VMs that tell a newcomer who else there is; one may be gone and one slow.
-_WELCOMING_VMS = 3
-_REVIVAL_SHARE = 0.1
-_LATE_FACTOR = 2
+_RUMOURS_PER_INTRODUCTION = 24
+_MAX_DATAGRAM_BYTES = 65536
+# Random members whose rumours each probe repeats, for VMs that missed them.
+_MEMBERS_PER_PROBE = 2
+# VMs that send the member list to a new process. Three are enough if one of
+# them has ended and another is slow.
+_INTRODUCING_VMS = 3
+# Probability that a period probes a dead VM, if there is one.
+_DEAD_PROBE_SHARE = 0.1
+# Probe periods by which a wake-up must be late to count as a pause.
+_LATE_WAKEUP_PERIODS = 2
 
 
 class News(Enum):
-    """How a rumour that was heard travels on."""
+    """How a received rumour is passed on to other VMs.
+
+    :cvar NONE: not at all
+    :cvar ORDINARY: piggybacked on the next datagrams
+    :cvar URGENT: pushed to a few VMs at once
+    """
 
     NONE = 'none'
     ORDINARY = 'ordinary'
@@ -67,7 +75,7 @@
 
 @dataclass
 class GossipCounts:
-    """What the membership protocol has seen since it started."""
+    """Counters of the membership protocol since the process started."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -82,7 +90,12 @@
 
 
 class Gossip:
-    """Probes other VMs and spreads news among them."""
+    """Probes other VMs and disseminates rumours among them.
+
+    :ivar late_listeners: called after this process was paused
+    :ivar rumour_listener: applies rumours that are not about members
+    :ivar standing_rumours: returns the rumours that every probe repeats
+    """
 
     def __init__(
         self,
@@ -91,12 +104,12 @@
         settings: FleetSettings,
         chance: random.Random,
     ) -> None:
-        """Keep ``members`` up to date."""
+        """Keep ``members`` up to date by probes and rumours."""
         self.members = members
         self.counts = GossipCounts()
         self.rumours = RumourQueue()
         self.late_listeners: list[Callable[[], None]] = []
-        self.rumour_listener: Callable[[Any], Awaitable[News]] = _no_news
+        self.rumour_listener: Callable[[Any], Awaitable[News]] = _ignore_rumour
         self.standing_rumours: Callable[[], list[Any]] = list
         self._network = network
         self._settings = settings
@@ -105,12 +118,12 @@
         self._socket: Socket | None = None
         self._probes = TaskSet()
         self._sequence = 0
-        self._probe = 0
-        self._acked: dict[int, curio.Event] = {}
-        self._order: list[VmId] = []
-        self._hurried: set[VmId] = set()
-        self._eager = EagerPush(members, chance, self._push_to)
-        self._windows: dict[VmId, tuple[Incarnation, ReplayWindow]] = {}
+        self._last_probe = 0
+        self._ack_events: dict[int, curio.Event] = {}
+        self._probe_order: list[VmId] = []
+        self._immediate_probes: set[VmId] = set()
+        self._eager_push = EagerPush(members, chance, self._send_rumours)
+        self._replay_windows: dict[VmId, tuple[Incarnation, ReplayWindow]] = {}
 
     def open(self, address: str) -> None:
         """Bind the datagram socket."""
@@ -119,7 +132,7 @@
     async def close(self) -> None:
         """Close the datagram socket."""
         await self._probes.cancel()
-        await self._eager.close()
+        await self._eager_push.close()
         if self._socket is not None:
             await self._network.discard(self._socket)
             self._socket = None
@@ -129,69 +142,77 @@
         assert self._socket is not None
         while True:
             try:
-                sealed, _origin = await self._socket.recvfrom(_DATAGRAM_BYTES)
+                sealed, _origin = await self._socket.recvfrom(
+                    _MAX_DATAGRAM_BYTES
+                )
             except OSError:
-                # A datagram we sent to a closed port comes back as an error
-                # on the next receive; it says nothing about this socket.
+                # An ICMP error for a datagram sent to a closed port is
+                # reported on the next receive. The socket itself is intact.
                 continue
             await self._receive(sealed)
 
     async def probe_forever(self) -> None:
-        """Probe one VM a period until cancelled."""
+        """Probe one VM per period until cancelled."""
         await self.push(self.members.own_rumour())
         while True:
             period = self._settings.probe_seconds
             pause = jittered(self._chance, period)
             planned = clock.now() + pause
             await curio.sleep(pause)
-            self._notice_late_wakeup(planned)
+            self._check_late_wakeup(planned)
             self._expire_suspicions()
             target = self._next_target()
             if target is not None:
                 await self._probes.spawn(self._probe_one, target)
 
     async def probe_now(self, vm: VmId | None) -> None:
-        """Probe a VM that somebody found silent, without waiting its turn."""
-        if vm is None or vm in self._hurried or vm == self.members.own_id:
+        """Probe a VM at once, because a request to it got no answer."""
+        if (
+            vm is None
+            or vm in self._immediate_probes
+            or vm == self.members.own_id
+        ):
             return
         member = self.members.by_id.get(vm)
         if member is not None:
-            await self._probes.spawn(self._probe_hurried, member)
+            await self._probes.spawn(self._probe_immediately, member)
 
-    async def _probe_hurried(self, member: Member) -> None:
-        self._hurried.add(member.vm.id)
+    async def _probe_immediately(self, member: Member) -> None:
+        self._immediate_probes.add(member.vm.id)
         try:
             if await self._has_ended(member):
                 await self._declare_ended(member)
             else:
                 await self._probe_one(member)
         finally:
-            self._hurried.discard(member.vm.id)
+            self._immediate_probes.discard(member.vm.id)
 
     async def push(self, rumour: Any) -> None:
-        """Tell ``rumour`` at once to a few VMs, and to the rest in time.
+        """Send ``rumour`` to a few VMs at once, and piggyback it afterwards.
 
-        Members come and go many at a time, and their news can wait for a
-        moment. Other news cannot: told 20 ms later a hop, that a request
-        crashes engines came too late for a third of them.
+        Many members join or leave together, so their rumours may be delayed
+        for a short time and share datagrams. Other rumours must not be
+        delayed: with 20 ms more per hop, the rumour that a request crashes
+        engines arrived too late at a third of the engines.
         """
         self.rumours.add(rumour)
         if isinstance(rumour, MemberRumour):
-            await self._eager.push_soon()
+            await self._eager_push.push_soon()
         else:
-            await self._eager.push_now()
+            await self._eager_push.push_now()
 
-    async def _push_to(self, member: Member) -> None:
+    async def _send_rumours(self, member: Member) -> None:
         await self._send(member, _ping(self.members.own_id, member, 0))
 
-    def _notice_late_wakeup(self, planned: float) -> None:
-        # A process that was paused still believes what was true before it.
-        # Everyone may have been silent only because we were not there.
-        late = clock.now() - planned
-        if late < self._settings.probe_seconds * _LATE_FACTOR:
+    def _check_late_wakeup(self, planned: float) -> None:
+        # The table of a process that was paused is out of date, and acks may
+        # be missing only because this process did not read them. Suspicions
+        # therefore start again, so that they do not expire at once.
+        delay = clock.now() - planned
+        if delay < self._settings.probe_seconds * _LATE_WAKEUP_PERIODS:
             return
         self.counts.late_wakeups += 1
-        logger.warning('this process was not running for {:.1f} s', late)
+        logger.warning('this process was paused for {:.1f} s', delay)
         for member in self.members.others():
             if member.state is MemberState.SUSPECT:
                 member.changed_at = clock.now()
@@ -199,34 +220,35 @@
             listener()
 
     def _next_target(self) -> Member | None:
-        # A VM counted as dead is still tried now and then: after a partition
-        # heals, nobody else would speak first.
+        """Return the VM to probe next: all in turn, in random order."""
+        # Dead VMs are probed now and then. After a partition heals, neither
+        # side would otherwise send to the other.
         dead = [
             member
             for member in self.members.others()
             if member.state is MemberState.DEAD
         ]
-        if dead and self._chance.random() < _REVIVAL_SHARE:
+        if dead and self._chance.random() < _DEAD_PROBE_SHARE:
             return self._chance.choice(dead)
-        while self._order:
-            member = self.members.by_id.get(self._order.pop())
+        while self._probe_order:
+            member = self.members.by_id.get(self._probe_order.pop())
             if member is not None and member.state is not MemberState.DEAD:
                 return member
-        self._order = [member.vm.id for member in self.members.others()]
-        self._chance.shuffle(self._order)
-        if len(dead) < len(self._order):
+        self._probe_order = [member.vm.id for member in self.members.others()]
+        self._chance.shuffle(self._probe_order)
+        if len(dead) < len(self._probe_order):
             return self._next_target()
         return self._chance.choice(dead) if dead else None
 
     async def _probe_one(self, target: Member) -> None:
-        self._probe += 1
-        number = self._probe
+        self._last_probe += 1
+        number = self._last_probe
         answered = curio.Event()
-        self._acked[number] = answered
+        self._ack_events[number] = answered
         try:
             await self._probe_stages(target, number, answered)
         finally:
-            self._acked.pop(number, None)
+            self._ack_events.pop(number, None)
 
     async def _probe_stages(
         self,
@@ -244,9 +266,9 @@
         if await self._has_ended(target):
             await self._declare_ended(target)
             return
-        rest = settings.probe_seconds - settings.ack_seconds
-        if await _is_set(answered, max(rest, settings.ack_seconds)):
-            # Others reach it and we do not: the path is broken, not the VM.
+        remaining = settings.probe_seconds - settings.ack_seconds
+        if await _is_set(answered, max(remaining, settings.ack_seconds)):
+            # Other VMs reach the target, so only the direct path is broken.
             target.direct = False
             return
         await self._suspect(target)
@@ -256,10 +278,10 @@
         return await self._network.refuses(address, self._settings.ack_seconds)
 
     async def _verify_end(self, vm: VmId) -> None:
-        """See for ourselves whether a VM said to be dead has ended.
+        """Check whether the process of a VM that is rumoured dead has ended.
 
-        Whoever takes over its engines need not wait for a process that is
-        provably gone; hearsay is no proof.
+        The VM that takes over its engines need not wait for a process that
+        has provably ended. A rumour is no proof; a refused connection is.
         """
         member = self.members.by_id.get(vm)
         if member is None:
@@ -281,8 +303,8 @@
             if member is not target and member.state is MemberState.ALIVE
         ]
         self._chance.shuffle(candidates)
-        # One helper of each failure domain before a second of any: helpers
-        # behind the same broken switch would all report the same silence.
+        # One helper of each failure domain comes before a second of any:
+        # helpers behind the same broken switch all fail to reach the target.
         candidates.sort(key=_RoundRobin())
         return candidates[: self._settings.indirect_probes]
 
@@ -294,11 +316,11 @@
         await self.push(self.members.rumour_of(target))
 
     def _expire_suspicions(self) -> None:
-        oldest = clock.now() - self._settings.suspicion_seconds
+        cutoff = clock.now() - self._settings.suspicion_seconds
         for member in self.members.others():
             if member.state is not MemberState.SUSPECT:
                 continue
-            if member.changed_at <= oldest:
+            if member.changed_at <= cutoff:
                 self.members.change(member, MemberState.DEAD)
                 self.rumours.add(self.members.rumour_of(member))
 
@@ -317,94 +339,96 @@
         if not self._is_fresh(datagram):
             self.counts.replayed += 1
             return
-        await self._heard(datagram)
+        await self._record_sender(datagram)
         for rumour in datagram.rumours:
-            await self._take(rumour)
+            await self._apply_rumour(rumour)
         await self._answer(datagram.content, datagram.sender)
 
     def _is_fresh(self, datagram: Datagram) -> bool:
-        known = self._windows.get(datagram.sender)
+        known = self._replay_windows.get(datagram.sender)
         if known is None or datagram.incarnation > known[0]:
             known = (datagram.incarnation, ReplayWindow())
-            self._windows[datagram.sender] = known
+            self._replay_windows[datagram.sender] = known
         if datagram.incarnation < known[0]:
             return False
         return known[1].accept(datagram.sequence)
 
-    async def _heard(self, datagram: Datagram) -> None:
+    async def _record_sender(self, datagram: Datagram) -> None:
         member = self.members.by_id.get(datagram.sender)
         if member is None:
             return
         member.heard_at = clock.now()
         if datagram.incarnation > member.incarnation:
-            # A process that was restarted speaks for the first time. Whoever
-            # hears it first tells the others, and tells it who they are.
+            # First datagram of a restarted process. The first VM to receive
+            # one informs the other VMs, and the introducing VMs send the
+            # process the member list.
             rumour = self.members.rumour_of(member)
             rumour.incarnation = datagram.incarnation
             rumour.counter = 0
             rumour.state = MemberState.ALIVE
-            await self._take_member(rumour)
+            await self._apply_member_rumour(rumour)
         if member.state is MemberState.DEAD:
-            # It speaks but does not know that it was declared dead: tell
-            # it, so that it can refute with a higher counter.
+            # The sender runs but was declared dead. The queued rumour lets
+            # it learn that and refute it with a higher counter.
             self.rumours.add(self.members.rumour_of(member))
 
-    async def _take(self, rumour: Any) -> None:
+    async def _apply_rumour(self, rumour: Any) -> None:
         if isinstance(rumour, MemberRumour):
-            await self._take_member(rumour)
+            await self._apply_member_rumour(rumour)
             return
-        news = await self.rumour_listener(rumour)
-        if news is News.URGENT:
+        dissemination = await self.rumour_listener(rumour)
+        if dissemination is News.URGENT:
             await self.push(rumour)
-        elif news is News.ORDINARY:
+        elif dissemination is News.ORDINARY:
             self.rumours.add(rumour)
 
-    async def _take_member(self, rumour: MemberRumour) -> None:
+    async def _apply_member_rumour(self, rumour: MemberRumour) -> None:
         if rumour.vm == self.members.own_id:
             if self.members.refute(rumour):
                 self.counts.refuted += 1
                 await self.push(self.members.own_rumour())
             return
         known = self.members.by_id.get(rumour.vm)
-        process = known.incarnation if known else None
+        previous = known.incarnation if known else None
         if self.members.apply(rumour):
             await self.push(rumour)
-            if process != rumour.incarnation:
-                await self._welcome(rumour.vm)
+            if previous != rumour.incarnation:
+                await self._introduce_members(rumour.vm)
             if rumour.state is MemberState.DEAD:
                 await self._probes.spawn(self._verify_end, rumour.vm)
 
-    async def _welcome(self, vm: VmId) -> None:
-        """Tell a process that has just joined who else there is.
+    async def _introduce_members(self, vm: VmId) -> None:
+        """Send the member list to a process that has just joined.
 
-        News is piggybacked only while it is new, so a newcomer would hear
-        of each old member at that member's next change, perhaps never. With
-        what it then takes for a quorum it would claim what others own. A few
-        VMs do it, the same ones in everybody's eyes: told by each of a large
-        fleet, a newcomer would read hundreds of datagrams before its first
-        request.
+        Rumours are piggybacked only while they are new, so a new process
+        would learn of an old member at that member's next change, perhaps
+        never. It would then see a quorum in too small a fleet and claim what
+        other VMs own. A few VMs send the list, chosen by rendezvous hashing
+        so that all VMs choose the same ones. If every VM of a large fleet
+        sent it, the new process would read hundreds of datagrams before its
+        first request.
         """
-        newcomer = self.members.by_id.get(vm)
-        if newcomer is None or self.members.own_vm is None:
+        new_member = self.members.by_id.get(vm)
+        if new_member is None or self.members.own_vm is None:
             return
-        names = [name for name in self.members.present_ids() if name != vm]
-        chosen = hashing.first(f'welcome {vm}', names, _WELCOMING_VMS)
+        vm_ids = [name for name in self.members.present_ids() if name != vm]
+        chosen = hashing.first(f'welcome {vm}', vm_ids, _INTRODUCING_VMS)
         if self.members.own_id not in chosen:
             return
         rumours = [
             self.members.rumour_of(member)
             for member in self.members.others()
-            if member is not newcomer and member.state is MemberState.ALIVE
+            if member is not new_member and member.state is MemberState.ALIVE
         ]
-        for begin in range(0, len(rumours), _RUMOURS_PER_WELCOME):
-            part = rumours[begin : begin + _RUMOURS_PER_WELCOME]
+        for begin in range(0, len(rumours), _RUMOURS_PER_INTRODUCTION):
+            batch = rumours[begin : begin + _RUMOURS_PER_INTRODUCTION]
             await self._send(
-                newcomer, _ping(self.members.own_id, newcomer, 0), part
+                new_member, _ping(self.members.own_id, new_member, 0), batch
             )
 
     @singledispatchmethod
     async def _answer(self, content: Any, sender: VmId) -> None:
-        raise TypeError(f'{type(content).__name__} is not a datagram')
+        raise TypeError(f'{type(content).__name__} is not datagram content')
 
     @_answer.register(Ping)
     async def _answer_ping(self, content: Ping, sender: VmId) -> None:
@@ -422,12 +446,12 @@
             if origin is not None:
                 await self._send(origin, content)
             return
-        answered = self._acked.get(content.probe)
+        answered = self._ack_events.get(content.probe)
         if answered is not None:
             await answered.set()
 
     @_answer.register(PingRequest)
-    async def _answer_request(
+    async def _answer_ping_request(
         self,
         content: PingRequest,
         sender: VmId,
@@ -443,6 +467,10 @@
         content: Any,
         more: Iterable[Any] = (),
     ) -> None:
+        """Send one datagram with queued rumours.
+
+        :param more: rumours to send besides the queued ones
+        """
         if self._socket is None:
             return
         self._sequence += 1
@@ -450,16 +478,19 @@
         rumours = self.rumours.take(_RUMOURS_PER_DATAGRAM, count)
         rumours.extend(more)
         if isinstance(content, Ping) and content.probe:
-            # News that was missed, as in a partition, is met again here.
+            # Repeated for VMs that missed them, as during a partition.
             rumours.extend(self.standing_rumours())
             if self.members.own_vm is not None:
-                # Whoever does not know us yet can only answer after this.
+                # A target that does not know this VM yet has no address to
+                # send the ack to without this rumour.
                 rumours.append(self.members.own_rumour())
                 rumours.extend(
-                    self.members.some_rumours(self._chance, _STANDING_MEMBERS),
+                    self.members.sample_rumours(
+                        self._chance, _MEMBERS_PER_PROBE
+                    ),
                 )
         if target.state is not MemberState.ALIVE:
-            # It must hear what is said of it, or it cannot refute it.
+            # The target can refute its state only if it learns of it.
             rumours.append(self.members.rumour_of(target))
         datagram = Datagram(
             self.members.own_id,
@@ -475,19 +506,26 @@
             address = split_address(target.vm.peer_address)
             await self._socket.sendto(sealed, address)
         except OSError as failed:
-            logger.debug('no datagram to {}: {}', target.vm.id, failed)
+            logger.debug(
+                'cannot send a datagram to {}: {}', target.vm.id, failed
+            )
 
 
 class _RoundRobin:
-    """Sort key that spreads members over failure domains."""
+    """Sort key that alternates between failure domains.
+
+    The key of a member is its number among the members of its domain.
+    """
 
     def __init__(self) -> None:
-        self._taken: dict[str, int] = {}
+        self._members_by_domain: dict[str, int] = {}
 
     def __call__(self, member: Member) -> int:
         domain = member.vm.failure_domain
-        self._taken[domain] = self._taken.get(domain, 0) + 1
-        return self._taken[domain]
+        self._members_by_domain[domain] = (
+            self._members_by_domain.get(domain, 0) + 1
+        )
+        return self._members_by_domain[domain]
 
 
 def _ping(origin: VmId, target: Member, number: int) -> Ping:
@@ -501,5 +539,5 @@
     return False
 
 
-async def _no_news(_rumour: Any) -> News:
+async def _ignore_rumour(_rumour: Any) -> News:
     return News.NONE
--- a/flamingovalve/membership/members.py
+++ b/flamingovalve/membership/members.py
@@ -1,4 +1,4 @@
-"""What this VM believes of the others."""
+"""The state of every VM of the fleet, as this VM knows it."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
 
 logger = get_logger(__name__)
 
-# By then VMs that started together have found each other. Whoever ranks
-# itself among the others before that ranks itself among few.
+# Time in which VMs that start together find each other. A VM that ranks the
+# members earlier than this ranks only a few of them.
 SETTLE_SECONDS: Final = 0.7
-# A VM that keeps dying and coming back would move ownership at each turn.
-# Each return within the memory below doubles the wait before it counts again.
+# A VM that keeps dying and coming back would move ownership each time. Each
+# return within the flap memory doubles the time before it is present again.
 _FLAP_MEMORY_SECONDS = 120
-_FIRST_HOLD_SECONDS = 0.5
-_LONGEST_HOLD_SECONDS = 60
-_ENDED_KEPT = 4
-# VMs of one size are never told apart by what their settings round.
-_LARGE_SHARE = 0.5
+_BASE_HOLD_SECONDS = 0.5
+_MAX_HOLD_SECONDS = 60
+_MAX_ENDED_PROCESSES = 4
+# Half, so that VMs of one size count as equal although their settings round
+# the processor time differently.
+_MIN_LARGE_SHARE = 0.5
 
 _SEVERITY = {
     State.ALIVE: 0,
@@ -41,17 +42,18 @@
 
 @dataclass(slots=True)
 class Member:
-    """One VM of the published list, as this VM sees it.
+    """One VM of the fleet, as this VM sees it.
 
     :ivar incarnation: number of the process last heard of; 0 before that
     :ivar counter: raised by the VM itself to refute a suspicion
-    :ivar changed_at: when the state last changed, on our clock
-    :ivar heard_at: when a datagram last came straight from it
+    :ivar changed_at: when the state last changed, on the clock of this VM
+    :ivar heard_at: when a datagram last arrived from the VM itself
     :ivar direct: whether the direct path to it works
+    :ivar returns: when it came back from the dead, within the flap memory
     :ivar held_until: when it counts as present again after it flapped
-    :ivar process_since: when its present process was first heard of
-    :ivar ended: processes of it that are provably gone, the latest last
-    :ivar cores: processor time that it may use; 0 where it is not known
+    :ivar process_since: when its current process first became known
+    :ivar ended: its processes that have provably ended, the latest last
+    :ivar cores: processor time that it may use, in cores; 0 if unknown
     """
 
     vm: PublishedVm
@@ -68,19 +70,19 @@
     cores: float = 0
 
     def note_end(self, incarnation: Incarnation) -> None:
-        """Remember that a process is provably gone."""
+        """Record that a process has provably ended."""
         if incarnation and incarnation not in self.ended:
-            self.ended = [*self.ended[1 - _ENDED_KEPT :], incarnation]
+            self.ended = [*self.ended[1 - _MAX_ENDED_PROCESSES :], incarnation]
 
     def is_known_to_have_ended(self) -> bool:
-        """Tell whether its latest process is provably gone or has left."""
-        gone = self.state in {State.DEAD, State.LEAVING}
-        return gone and (
+        """Return whether its latest process has provably ended or is leaving."""
+        is_absent = self.state in {State.DEAD, State.LEAVING}
+        return is_absent and (
             self.incarnation in self.ended or self.state is State.LEAVING
         )
 
     def is_present(self) -> bool:
-        """Tell whether it takes part in the division of work."""
+        """Return whether it takes part in the division of work."""
         if self.vm.state is VmState.LEAVING:
             return False
         if self.state not in {State.ALIVE, State.SUSPECT}:
@@ -89,10 +91,15 @@
 
 
 class MemberTable:
-    """All VMs of the published list with what gossip says of them."""
+    """All known VMs, from the published list and from rumours.
+
+    :ivar own_counter: raised to refute rumours about this VM
+    :ivar epoch: raised whenever the division of work may change
+    :ivar own_vm: this VM, where no list is published; otherwise None
+    """
 
     def __init__(self, own_id: VmId, own_incarnation: Incarnation) -> None:
-        """Start with no member but ourselves, known by the list alone."""
+        """Start without members, in a fleet with a published list."""
         self.own_id = own_id
         self.own_incarnation = own_incarnation
         self.own_counter = 0
@@ -106,16 +113,16 @@
         self._present_until = 0.0
 
     def replace_list(self, published: VmList) -> None:
-        """Take a new published list; keep what gossip said of each VM."""
+        """Apply a new published list; keep the gossiped state of each VM."""
         previous = self.by_id
         self.by_id = {}
         for vm in published.vms:
             member = previous.get(vm.id) or Member(vm, changed_at=clock.now())
             member.vm = vm
             self.by_id[vm.id] = member
-        self._touch()
+        self._advance_epoch()
         for vm_id, rumour in list(self._rumours_by_id.items()):
-            # A VM can be heard of before the lagging list names it.
+            # Rumours of a VM can arrive before the list that names it.
             if vm_id in self.by_id:
                 del self._rumours_by_id[vm_id]
                 self.apply(rumour)
@@ -126,12 +133,12 @@
         seeds: list[str],
         cores: float = 0,
     ) -> None:
-        """Let VMs join by rumours, where nobody publishes a list of them.
+        """Let VMs join by rumours, in a fleet without a published list.
 
         In such a fleet the id of a VM is its peer address, so a seed can be
-        asked before anything else is known of it.
+        probed before anything else is known of it.
 
-        :param cores: processor time that this VM may use
+        :param cores: processor time that this VM may use, in cores
         """
         self.own_vm = own
         self.own_cores = cores
@@ -142,10 +149,10 @@
             if seed != self.own_id:
                 vm = PublishedVm(VmId(seed), peer_address=seed)
                 self.by_id[vm.id] = Member(vm, changed_at=clock.now())
-        self._touch()
+        self._advance_epoch()
 
     def others(self) -> list[Member]:
-        """Give every member but ourselves."""
+        """Return every member but this VM."""
         return [
             member
             for vm_id, member in self.by_id.items()
@@ -153,39 +160,41 @@
         ]
 
     def present(self) -> list[Member]:
-        """Give the members that share the work, ourselves included."""
+        """Return the members that share the work, including this VM."""
         if self._present is None or clock.now() >= self._present_until:
             self._present = [
-                member for member in self.by_id.values() if self._counts(member)
+                member
+                for member in self.by_id.values()
+                if self._shares_work(member)
             ]
-            self._present_until = self._next_release()
+            self._present_until = self._next_hold_end()
         return self._present
 
     def present_ids(self) -> list[VmId]:
-        """Give the ids of :meth:`present`."""
+        """Return the ids of :meth:`present`."""
         return [member.vm.id for member in self.present()]
 
     def has_quorum(self) -> bool:
-        """Tell whether we see more than half of the VMs that may be alive.
+        """Return whether this VM sees a majority of the possibly live VMs.
 
-        Two parts of a split fleet cannot both do so. VMs whose process is
-        provably gone do not count; silent ones do. Of two equal halves, the
-        one with the first VM of the list in it wins.
+        At most one side of a partition has a majority. VMs whose process has
+        provably ended do not count; silent ones do. Of two equal halves, the
+        one that contains the VM with the lowest id has the quorum.
         """
         possible = self._possibly_alive_ids()
-        seen = possible.intersection(self.present_ids())
-        if 2 * len(seen) == len(possible):
-            return min(possible, default='') in seen
-        return 2 * len(seen) > len(possible)
+        visible = possible.intersection(self.present_ids())
+        if 2 * len(visible) == len(possible):
+            return min(possible, default='') in visible
+        return 2 * len(visible) > len(possible)
 
     def visible_share(self) -> float:
-        """Give the share of the possibly live VMs that we see.
+        """Return the share of the possibly live VMs that this VM sees.
 
         The shares of disjoint partitions add up to at most one.
         """
         possible = self._possibly_alive_ids()
-        seen = possible.intersection(self.present_ids())
-        return len(seen) / max(len(possible), 1)
+        visible = possible.intersection(self.present_ids())
+        return len(visible) / max(len(possible), 1)
 
     def _possibly_alive_ids(self) -> set[VmId]:
         return {
@@ -195,26 +204,26 @@
         }
 
     def is_present(self, vm_id: VmId) -> bool:
-        """Tell whether a VM shares the work."""
+        """Return whether a VM shares the work."""
         member = self.by_id.get(vm_id)
-        return member is not None and self._counts(member)
+        return member is not None and self._shares_work(member)
 
     def apply(self, rumour: MemberRumour) -> bool:
-        """Take a rumour about another VM.
+        """Apply a rumour about another VM.
 
-        :returns: whether it was news
+        :returns: whether it changed what is known of that VM
         """
         member = self.by_id.get(rumour.vm)
         if member is None and self.own_vm is not None:
-            member = self._join(rumour)
+            member = self._add_joined(rumour)
         if member is None:
-            self._remember(rumour)
+            self._keep_rumour(rumour)
             return False
-        has_new_details = self._update_details(member, rumour)
+        has_changed_details = self._update_details(member, rumour)
         if not _is_newer(member, rumour):
-            return has_new_details
+            return has_changed_details
         if rumour.incarnation != member.incarnation:
-            self._replaced(member)
+            self._record_replacement(member)
             member.process_since = clock.now()
         member.incarnation = rumour.incarnation
         member.counter = rumour.counter
@@ -227,40 +236,40 @@
         The first datagram of a seed's process can make its incarnation known
         before these details. VMs that miss the size rank the seed differently.
 
-        :returns: whether any of them was news
+        :returns: whether any of them changed
         """
         if rumour.incarnation < member.incarnation:
             return False
-        is_new = False
+        is_changed = False
         if rumour.domain and not member.vm.failure_domain:
             member.vm.failure_domain = rumour.domain
             member.vm.http_address = rumour.http_address
-            is_new = True
+            is_changed = True
         if rumour.cores and rumour.cores != member.cores:
             member.cores = rumour.cores
-            is_new = True
-        if is_new:
-            self._touch()
-        return is_new
+            is_changed = True
+        if is_changed:
+            self._advance_epoch()
+        return is_changed
 
     def change(self, member: Member, state: State) -> None:
-        """Move a member to ``state``."""
+        """Set the state of a member."""
         if member.state is state:
             return
         if member.state is State.DEAD:
-            self._hold(member)
+            self._hold_returned(member)
         logger.info(
-            'VM {} was {} and is {}',
+            'VM {} changed from {} to {}',
             member.vm.id,
             member.state.value,
             state.value,
         )
         member.state = state
         member.changed_at = clock.now()
-        self._touch()
+        self._advance_epoch()
 
     def ended_processes(self) -> list[tuple[VmId, Incarnation]]:
-        """Give the processes that are provably gone."""
+        """Return the processes that have provably ended."""
         return [
             (vm_id, incarnation)
             for vm_id, member in self.by_id.items()
@@ -268,25 +277,25 @@
         ]
 
     def rumour_of(self, member: Member) -> MemberRumour:
-        """Give the rumour that states what we believe of a member."""
+        """Return the rumour of what this VM knows of a member."""
         return MemberRumour(
             member.vm.id,
             member.incarnation,
             member.counter,
             member.state,
-            *self._contact(member.vm),
+            *self._contact_details(member.vm),
             member.cores,
         )
 
-    def some_rumours(
+    def sample_rumours(
         self,
         chance: random.Random,
         count: int,
     ) -> list[MemberRumour]:
-        """Give rumours of a few members, for VMs that missed their joining.
+        """Return rumours of random members, for VMs that missed their join.
 
-        After three of four VMs were restarted together, each of the three
-        knew only the fourth until one of the others changed its state.
+        Without them, when three of four VMs are restarted together, each of
+        the three knows only the fourth until another one changes its state.
         """
         alive = [
             member for member in self.others() if member.state is State.ALIVE
@@ -295,35 +304,35 @@
         return [self.rumour_of(member) for member in chosen]
 
     def own_rumour(self) -> MemberRumour:
-        """Give the rumour that states how we are."""
+        """Return the rumour of the state of this VM."""
         return MemberRumour(
             self.own_id,
             self.own_incarnation,
             self.own_counter,
             self.own_state,
-            *self._contact(self.own_vm),
+            *self._contact_details(self.own_vm),
             self.own_cores,
         )
 
     def leave(self) -> None:
-        """Count ourselves as leaving."""
+        """Mark this VM as leaving."""
         self.own_state = State.LEAVING
         self.own_counter += 1
-        self._touch()
+        self._advance_epoch()
 
     def refute(self, rumour: MemberRumour) -> bool:
-        """Answer a rumour that says we are suspected or dead.
+        """Refute a rumour that this VM is suspected or dead.
 
-        An accusation that we have refuted before can come again from a VM
-        that missed the refutation, as after a partition. It would go on
-        believing that we are dead unless it is told once more.
+        A rumour that was refuted before can come again from a VM that missed
+        the refutation, as after a partition. That VM would regard this one as
+        dead for good unless the refutation is repeated.
 
-        :returns: whether our own state has to be told
+        :returns: whether the state of this VM has to be disseminated
         """
         if rumour.incarnation > self.own_incarnation:
-            # Our clock was set back before this process started, so the
-            # others take it for one that has long been replaced and drop
-            # all that it says. Only a higher number is heard again.
+            # The clock was set back before this process started, so the
+            # other VMs take it for a process that was replaced and drop its
+            # messages. They accept it only with a higher incarnation.
             self.own_incarnation = Incarnation(rumour.incarnation + 1)
             return True
         if rumour.incarnation != self.own_incarnation:
@@ -333,7 +342,7 @@
         self.own_counter = max(self.own_counter, rumour.counter + 1)
         return True
 
-    def _join(self, rumour: MemberRumour) -> Member | None:
+    def _add_joined(self, rumour: MemberRumour) -> Member | None:
         if not rumour.domain or rumour.state is State.DEAD:
             return None
         vm = PublishedVm(
@@ -344,67 +353,75 @@
         )
         member = Member(vm, changed_at=clock.now())
         self.by_id[vm.id] = member
-        logger.info('VM {} joined', vm.id)
-        self._touch()
+        logger.info('VM {} joined the fleet', vm.id)
+        self._advance_epoch()
         return member
 
-    def _contact(self, vm: PublishedVm | None) -> tuple[DomainId, str]:
+    def _contact_details(self, vm: PublishedVm | None) -> tuple[DomainId, str]:
         if self.own_vm is None or vm is None:
             return DomainId(''), ''
         return vm.failure_domain, vm.http_address
 
-    def _counts(self, member: Member) -> bool:
+    def _shares_work(self, member: Member) -> bool:
         if member.vm.id == self.own_id:
-            published = member.vm.state is VmState.LIVE
-            return published and self.own_state is State.ALIVE
+            is_live = member.vm.state is VmState.LIVE
+            return is_live and self.own_state is State.ALIVE
         return member.is_present()
 
-    def _next_release(self) -> float:
-        moment = clock.now()
-        releases = [
+    def _next_hold_end(self) -> float:
+        """Return when the next member held back counts as present again."""
+        now = clock.now()
+        hold_ends = [
             member.held_until
             for member in self.by_id.values()
-            if member.held_until > moment
+            if member.held_until > now
         ]
-        return min(releases, default=float('inf'))
+        return min(hold_ends, default=float('inf'))
 
-    def _replaced(self, member: Member) -> None:
-        # A new process at a known name shares nothing with the old one:
-        # whoever divides work by these members must notice the change.
+    def _record_replacement(self, member: Member) -> None:
+        # A new process of a known VM shares no state with the previous one,
+        # so the division of work must take note of the change.
         if member.incarnation:
             logger.info('VM {} runs a new process', member.vm.id)
-        # Two processes cannot listen at one address.
+        # Two processes cannot listen at one address, so the old one has ended.
         member.note_end(member.incarnation)
         member.direct = True
-        self._touch()
+        self._advance_epoch()
 
-    def _hold(self, member: Member) -> None:
-        moment = clock.now()
+    def _hold_returned(self, member: Member) -> None:
+        """Delay the presence of a member that returns repeatedly."""
+        now = clock.now()
         recent = [
-            at for at in member.returns if moment - at < _FLAP_MEMORY_SECONDS
+            returned_at
+            for returned_at in member.returns
+            if now - returned_at < _FLAP_MEMORY_SECONDS
         ]
-        wait = _FIRST_HOLD_SECONDS * 2 ** len(recent) if recent else 0
-        member.held_until = moment + min(wait, _LONGEST_HOLD_SECONDS)
-        member.returns = [*recent, moment]
+        delay = _BASE_HOLD_SECONDS * 2 ** len(recent) if recent else 0
+        member.held_until = now + min(delay, _MAX_HOLD_SECONDS)
+        member.returns = [*recent, now]
 
-    def _remember(self, rumour: MemberRumour) -> None:
+    def _keep_rumour(self, rumour: MemberRumour) -> None:
         known = self._rumours_by_id.get(rumour.vm)
         if known is None or rumour.incarnation >= known.incarnation:
             self._rumours_by_id[rumour.vm] = rumour
 
     def forget_present(self) -> None:
-        """Work out :meth:`present` anew when it is asked for next."""
+        """Make the next call of :meth:`present` compute it again."""
         self._present = None
 
-    def _touch(self) -> None:
+    def _advance_epoch(self) -> None:
         self.epoch += 1
         self.forget_present()
 
 
 def largest(members: list[Member]) -> list[Member]:
-    """Give those with at least half the processor time of the largest."""
-    most = max((member.cores for member in members), default=0)
-    return [member for member in members if member.cores >= most * _LARGE_SHARE]
+    """Return those with at least half the processor time of the largest."""
+    max_cores = max((member.cores for member in members), default=0)
+    return [
+        member
+        for member in members
+        if member.cores >= max_cores * _MIN_LARGE_SHARE
+    ]
 
 
 def _is_newer(member: Member, rumour: MemberRumour) -> bool:
--- a/flamingovalve/membership/push.py
+++ b/flamingovalve/membership/push.py
@@ -1,4 +1,4 @@
-"""Sends news on at once, without a flood when much of it comes together."""
+"""Pushes new rumours at once, and batches bursts of member rumours."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     from flamingovalve.membership.members import Member, MemberTable
 
 _FANOUT: Final = 4
-# News of members that comes within this time of a push shares the next one.
-# Pushed one by one, the joins of many VMs that start together cost each of
-# them thousands of datagrams.
-_PAUSE_SECONDS: Final = 0.02
+# Member rumours that arrive within this time after a push share the next one.
+# Pushed one by one, the joins of many VMs that start together cost each VM
+# thousands of datagrams.
+_MIN_INTERVAL_SECONDS: Final = 0.02
 
 
 class EagerPush:
-    """Sends what is queued to a few VMs as soon as there is news.
+    """Sends the queued rumours to a few VMs as soon as one is added.
 
-    Piggybacking alone takes a probe's period a hop. News that must be in
-    force within seconds is sent on as soon as it is first heard; it reaches
+    Piggybacking alone takes one probe period per hop. Rumours that must take
+    effect within seconds are pushed when they are first received; they reach
     all of n VMs in O(log n) network delays.
     """
 
@@ -37,36 +37,39 @@
         chance: random.Random,
         send: Callable[[Member], Awaitable[None]],
     ) -> None:
-        """Send by ``send`` to some of ``members``."""
+        """Push to random ``members``.
+
+        :param send: sends the queued rumours to one member
+        """
         self._members = members
         self._chance = chance
         self._send = send
         self._pushed_at = float('-inf')
-        self._is_due = False
+        self._is_scheduled = False
         self._tasks = TaskSet()
 
     async def close(self) -> None:
-        """Give up a push that is due."""
+        """Cancel a scheduled push."""
         await self._tasks.cancel()
 
     async def push_soon(self) -> None:
-        """Send the news that is queued now, or in a moment with more."""
-        if self._is_due:
+        """Push the queued rumours now, or shortly after a recent push."""
+        if self._is_scheduled:
             return
-        pause = self._pushed_at + _PAUSE_SECONDS - clock.now()
-        if pause <= 0:
+        delay = self._pushed_at + _MIN_INTERVAL_SECONDS - clock.now()
+        if delay <= 0:
             await self.push_now()
             return
-        self._is_due = True
-        await self._tasks.spawn(self._push_after, pause)
+        self._is_scheduled = True
+        await self._tasks.spawn(self._push_after, delay)
 
     async def _push_after(self, seconds: float) -> None:
         await curio.sleep(seconds)
-        self._is_due = False
+        self._is_scheduled = False
         await self.push_now()
 
     async def push_now(self) -> None:
-        """Send the news that is queued now."""
+        """Push the queued rumours now."""
         self._pushed_at = clock.now()
         others = [
             member
--- a/flamingovalve/membership/rumours.py
+++ b/flamingovalve/membership/rumours.py
@@ -1,4 +1,4 @@
-"""Which news still has to be told, and how often it was."""
+"""The queue of rumours to piggyback, with their transmission counts."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from collections.abc import Hashable
 
-_TELLINGS_FACTOR = 3
+_TRANSMISSIONS_FACTOR = 3
 
 
 @singledispatch
 def subject(rumour: Any) -> Hashable:
-    """Give what a rumour is about; a newer one replaces it."""
+    """Return the subject of a rumour; a newer rumour of it replaces it."""
     raise TypeError(f'{type(rumour).__name__} is not a rumour')
 
 
@@ -61,44 +61,47 @@
 
 
 class RumourQueue:
-    """News to piggyback, least told first.
+    """Rumours to piggyback, those with the fewest transmissions first.
 
-    Each piece of news is told O(log n) times by each VM that has it, which
-    reaches all of n VMs with high probability; a datagram carries a bounded
-    number, so the cost of a VM does not grow with the fleet.
+    Each VM that has a rumour sends it O(log n) times, which reaches all of n
+    VMs with high probability. A datagram carries a bounded number of rumours,
+    so the cost per VM does not grow with the fleet.
     """
 
     def __init__(self) -> None:
-        """Start with nothing to tell."""
+        """Start with an empty queue."""
         self._by_subject: dict[Hashable, tuple[int, int, Any]] = {}
         self._added = 0
 
     def __len__(self) -> int:
-        """Count the news still to be told."""
+        """Return the number of rumours still to be sent."""
         return len(self._by_subject)
 
     def add(self, rumour: Any) -> None:
-        """Tell ``rumour`` from now on, in place of older news of its kind."""
+        """Queue ``rumour`` in place of an older one about the same subject."""
         self._added += 1
         self._by_subject[subject(rumour)] = (0, -self._added, rumour)
 
     def take(self, count: int, fleet_size: int) -> list[Any]:
-        """Give up to ``count`` rumours for one datagram.
+        """Return up to ``count`` rumours for one datagram.
 
-        :param fleet_size: number of VMs, which bounds the tellings of each
+        :param fleet_size: number of VMs, which bounds the transmissions of
+            each rumour
         """
         if not self._by_subject:
             return []
-        limit = _TELLINGS_FACTOR * math.ceil(math.log2(fleet_size + 2))
+        max_transmissions = _TRANSMISSIONS_FACTOR * math.ceil(
+            math.log2(fleet_size + 2)
+        )
         ordered = sorted(
             self._by_subject.items(),
             key=lambda entry: entry[1][:2],
         )
         chosen = []
-        for key, (told, order, rumour) in ordered[:count]:
+        for key, (transmissions, order, rumour) in ordered[:count]:
             chosen.append(rumour)
-            if told + 1 >= limit:
+            if transmissions + 1 >= max_transmissions:
                 del self._by_subject[key]
             else:
-                self._by_subject[key] = (told + 1, order, rumour)
+                self._by_subject[key] = (transmissions + 1, order, rumour)
         return chosen
--- a/flamingovalve/peer/__init__.py
+++ b/flamingovalve/peer/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol between VMs."""
+"""The peer protocol: authenticated connections between VMs."""
--- a/flamingovalve/peer/client.py
+++ b/flamingovalve/peer/client.py
@@ -1,4 +1,4 @@
-"""Asks other VMs, over connections that are kept for a while."""
+"""The client side of the peer protocol, with a connection pool."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass
 class PeerCounts:
-    """What the client side of the peer protocol has seen."""
+    """Counters of the client side of the peer protocol."""
 
     exchanges: int = 0
     opened: int = 0
@@ -31,20 +31,21 @@
 
 
 class PeerUnreachable(Exception):
-    """A VM could not be reached at all.
+    """No connection to a VM could be opened.
 
-    :ivar ended: its address refused the connection, so the process that
-        listened there is gone; mere silence proves nothing
+    :ivar ended: the process that listened there has provably ended, since
+        its address refuses connections or another VM answers there; silence
+        alone is no proof
     """
 
     def __init__(self, message: str, *, ended: bool) -> None:
-        """State why."""
+        """Create the error with its reason."""
         super().__init__(message)
         self.ended = ended
 
 
 class PeerPool:
-    """Connections to other VMs, by their address."""
+    """A pool of connections to other VMs, by their address."""
 
     def __init__(
         self,
@@ -52,7 +53,7 @@
         settings: Settings,
         incarnation: Incarnation,
     ) -> None:
-        """Speak as the VM of ``settings``."""
+        """Identify as the VM of ``settings``."""
         self.counts = PeerCounts()
         self._network = network
         self._settings = settings
@@ -60,13 +61,14 @@
         self._keyring = Keyring.from_settings(settings.fleet)
         self._idle_by_address: dict[str, list[PeerConnection]] = {}
 
-    async def take(self, address: str, vm: VmId) -> PeerConnection:
-        """Give a connection to the VM at ``address``.
+    async def acquire(self, address: str, vm: VmId) -> PeerConnection:
+        """Return a pooled or new connection to the VM at ``address``.
 
-        A pooled connection may have been forgotten by something between the
-        two VMs; it is used only shortly after its last exchange.
+        A network device between the two VMs may drop its state of an idle
+        connection. A pooled connection is therefore used only shortly after
+        its last exchange.
 
-        :raises PeerUnreachable: when there is none to be had
+        :raises PeerUnreachable: when no connection could be opened
         """
         idle = self._idle_by_address.get(address, [])
         while idle:
@@ -74,12 +76,12 @@
             if clock.now() - connection.idle_since < _IDLE_SECONDS:
                 return connection
             await connection.close()
-        return await self.fresh(address, vm)
+        return await self.connect(address, vm)
 
-    async def fresh(self, address: str, vm: VmId) -> PeerConnection:
+    async def connect(self, address: str, vm: VmId) -> PeerConnection:
         """Open a new connection to the VM at ``address``.
 
-        :param vm: who should answer; empty for anyone
+        :param vm: id of the VM that must answer; empty for any
         :raises PeerUnreachable: when it cannot be opened
         """
         try:
@@ -96,7 +98,7 @@
         return connection
 
     def give(self, connection: PeerConnection, address: str) -> None:
-        """Take back a connection whose exchange is complete."""
+        """Return a connection to the pool after a complete exchange."""
         connection.idle_since = clock.now()
         self._idle_by_address.setdefault(address, []).append(connection)
 
@@ -107,11 +109,12 @@
         message: Any,
         seconds: float,
     ) -> tuple[Incarnation, Any]:
-        """Send one message and give the incarnation and reply of the VM.
+        """Send one message and return the incarnation and reply of the VM.
 
+        :param seconds: time limit for the exchange
         :raises PeerUnreachable: when no connection could be opened
-        :raises ConnectionLost: when no reply came in ``seconds``; the
-            message may have been taken all the same
+        :raises ConnectionLost: when no reply arrived within ``seconds``; the
+            VM may have processed the message nevertheless
         """
         self.counts.exchanges += 1
         connection = await self.fresh_enough(address, vm)
@@ -119,9 +122,9 @@
             async with curio.timeout_after(seconds):
                 await connection.send(message)
                 reply = await connection.receive(seconds)
-        except curio.TaskTimeout as late:
+        except curio.TaskTimeout as timed_out:
             await connection.close()
-            raise ConnectionLost(f'{vm} gave no reply in time') from late
+            raise ConnectionLost(f'{vm} did not reply in time') from timed_out
         except BaseException:
             await connection.close()
             raise
@@ -129,16 +132,18 @@
         return connection.remote.incarnation, reply
 
     async def fresh_enough(self, address: str, vm: VmId) -> PeerConnection:
-        """Give a connection whose other end has just proved to be there.
+        """Return a connection that the other VM has not closed.
+
+        When the process of a VM ends, the sockets of its pooled connections
+        become readable and report end of file. Such a connection is replaced.
 
-        A pooled connection whose VM has ended shows it at once: the socket
-        is readable and at its end. Such a one is replaced.
+        :raises PeerUnreachable: when no connection could be opened
         """
-        connection = await self.take(address, vm)
+        connection = await self.acquire(address, vm)
         if not has_ended(connection.socket):
             return connection
         await connection.close()
-        return await self.fresh(address, vm)
+        return await self.connect(address, vm)
 
     async def close(self) -> None:
         """Close every idle connection."""
@@ -154,7 +159,7 @@
         connection = PeerConnection(self._network, opened)
         own = own_hello(self._settings.vm.id, self._incarnation)
         try:
-            await connection.greet(self._keyring, own)
+            await connection.open_handshake(self._keyring, own)
         except BaseException:
             await connection.close()
             raise
--- a/flamingovalve/peer/connection.py
+++ b/flamingovalve/peer/connection.py
@@ -1,8 +1,8 @@
 """Framed, authenticated connections between VMs.
 
 A frame is a 4-byte length, a 16-byte authentication code and a Cap'n Proto
-message. The first frame of each side carries a fresh number; both numbers
-enter the session key, so a recorded connection cannot be played again.
+message. The first frame of each side carries a new random nonce. The session
+key is derived from both nonces, so a recorded connection cannot be replayed.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 SILENCE_SECONDS: Final = 3.5
 
 _READ_BYTES: Final = 262144
-_FRAME_BYTES: Final = 1024**3
+_MAX_FRAME_BYTES: Final = 1024**3
 _LENGTH_BYTES: Final = 4
 _NONCE_BYTES: Final = 16
-_HEAD_BYTES: Final = _LENGTH_BYTES + CODE_BYTES
+_HEADER_BYTES: Final = _LENGTH_BYTES + CODE_BYTES
 
 
 class PeerConnection:
     """One connection to another VM; carries one exchange at a time."""
 
     def __init__(self, network: Network, opened: Socket) -> None:
-        """Speak over ``opened``."""
+        """Exchange frames over ``opened``."""
         self.remote = Hello()
         self.socket = opened
         self.idle_since = 0.0
@@ -51,12 +51,13 @@
         self._sent = 0
         self._received = 0
         self._is_client = False
-        self._sending = curio.Lock()
+        self._send_lock = curio.Lock()
 
-    async def greet(self, keyring: Keyring, own: Hello) -> None:
-        """Open the exchange as the side that connected.
+    async def open_handshake(self, keyring: Keyring, own: Hello) -> None:
+        """Perform the handshake as the side that connected.
 
-        :raises WrongPeer: when the other side does not hold our key
+        :raises ConnectionLost: when the connection broke or fell silent
+        :raises WrongPeer: when the other side does not have our key
         """
         self._is_client = True
         own.nonce = secrets.token_bytes(_NONCE_BYTES)
@@ -65,15 +66,18 @@
         self.remote = _expect_hello(await self.receive(SILENCE_SECONDS))
         self._start_session(self._key, own.nonce + self.remote.nonce)
 
-    async def welcome(self, keyring: Keyring, own: Hello) -> None:
-        """Answer the greeting as the side that accepted.
+    async def accept_handshake(self, keyring: Keyring, own: Hello) -> None:
+        """Perform the handshake as the side that accepted.
 
-        :raises WrongPeer: when the other side holds none of our keys
+        :raises ConnectionLost: when the connection broke or fell silent
+        :raises WrongPeer: when the other side has none of our keys
         """
         code, content = await self._read_frame(SILENCE_SECONDS)
-        key = keyring.key_for(code, self._numbered(content, received=True))
+        key = keyring.key_for(
+            code, self._authenticated_part(content, received=True)
+        )
         if key is None:
-            raise WrongPeer('a connection was opened with an unknown key')
+            raise WrongPeer('the connection was opened with an unknown key')
         self._received += 1
         self.remote = _expect_hello(_decode(content))
         own.nonce = secrets.token_bytes(_NONCE_BYTES)
@@ -87,66 +91,67 @@
         :raises ConnectionLost: when the connection broke
         """
         content = messages.encode_frame(message)
-        async with self._sending:
-            numbered = self._numbered(content, received=False)
-            code = authentication_code(self._key, numbered)
+        async with self._send_lock:
+            authenticated = self._authenticated_part(content, received=False)
+            code = authentication_code(self._key, authenticated)
             self._sent += 1
             length = len(content).to_bytes(_LENGTH_BYTES, 'big')
             try:
                 await self.socket.sendall(length + code + content)
-            except OSError as broken:
-                raise ConnectionLost(str(broken)) from broken
+            except OSError as failed:
+                raise ConnectionLost(str(failed)) from failed
 
     async def receive(self, silence: float | None = None) -> Any:
-        """Wait for the next message; heartbeats only prolong the wait.
+        """Return the next message that is not a heartbeat.
 
-        :param silence: longest time without any frame, in seconds
+        :param silence: maximum time without any frame, in seconds; a
+            heartbeat starts it again
         :raises ConnectionLost: when the connection broke or fell silent
         :raises WrongPeer: when the message is forged
         """
-        message = await self._receive_any(silence)
+        message = await self._receive_message(silence)
         while isinstance(message, Heartbeat):
-            message = await self._receive_any(silence)
+            message = await self._receive_message(silence)
         return message
 
     async def close(self) -> None:
-        """Give up the connection."""
+        """Close the connection."""
         await self._network.discard(self.socket)
 
-    async def _receive_any(self, silence: float | None) -> Any:
+    async def _receive_message(self, silence: float | None) -> Any:
         code, content = await self._read_frame(silence)
-        numbered = self._numbered(content, received=True)
+        authenticated = self._authenticated_part(content, received=True)
         if not hmac.compare_digest(
             code,
-            authentication_code(self._key, numbered),
+            authentication_code(self._key, authenticated),
         ):
-            raise WrongPeer('a frame does not carry the key of its connection')
+            raise WrongPeer('a frame has a wrong authentication code')
         self._received += 1
         return _decode(content)
 
-    def _numbered(self, content: bytes, *, received: bool) -> bytes:
-        # The direction and the count enter the code: a frame that is
-        # reflected, repeated or dropped on the way no longer fits.
+    def _authenticated_part(self, content: bytes, *, received: bool) -> bytes:
+        # The authentication code covers the direction and the frame number,
+        # so that reflected, repeated and dropped frames are detected.
         from_client = self._is_client is not received
-        count = self._received if received else self._sent
-        return b'%d%d:' % (from_client, count) + content
+        number = self._received if received else self._sent
+        return b'%d%d:' % (from_client, number) + content
 
     def _start_session(self, key: bytes, nonces: bytes) -> None:
         self._key = hashlib.blake2b(nonces, key=key).digest()
 
     async def _read_frame(self, silence: float | None) -> tuple[bytes, bytes]:
-        await self._fill(_HEAD_BYTES, silence)
+        await self._fill_buffer(_HEADER_BYTES, silence)
         length = int.from_bytes(self._buffer[:_LENGTH_BYTES], 'big')
-        if length > _FRAME_BYTES:
-            raise WrongPeer(f'a frame of {length} bytes is too long')
-        await self._fill(_HEAD_BYTES + length, silence)
-        code = bytes(self._buffer[_LENGTH_BYTES:_HEAD_BYTES])
-        content = bytes(self._buffer[_HEAD_BYTES : _HEAD_BYTES + length])
-        del self._buffer[: _HEAD_BYTES + length]
+        if length > _MAX_FRAME_BYTES:
+            raise WrongPeer(f'a frame of {length} bytes exceeds the limit')
+        await self._fill_buffer(_HEADER_BYTES + length, silence)
+        code = bytes(self._buffer[_LENGTH_BYTES:_HEADER_BYTES])
+        content = bytes(self._buffer[_HEADER_BYTES : _HEADER_BYTES + length])
+        del self._buffer[: _HEADER_BYTES + length]
         return code, content
 
-    async def _fill(self, wanted: int, silence: float | None) -> None:
-        while len(self._buffer) < wanted:
+    async def _fill_buffer(self, size: int, silence: float | None) -> None:
+        while len(self._buffer) < size:
             received = await self._read_some(silence)
             if not received:
                 raise ConnectionLost('the peer closed the connection')
@@ -158,25 +163,27 @@
                 return await self.socket.recv(_READ_BYTES)
             async with curio.timeout_after(silence):
                 return await self.socket.recv(_READ_BYTES)
-        except curio.TaskTimeout as late:
-            raise ConnectionLost(f'no frame for {silence:g} s') from late
-        except OSError as broken:
-            raise ConnectionLost(str(broken)) from broken
+        except curio.TaskTimeout as timed_out:
+            raise ConnectionLost(
+                f'no frame within {silence:g} s'
+            ) from timed_out
+        except OSError as failed:
+            raise ConnectionLost(str(failed)) from failed
 
 
 def own_hello(vm: VmId, incarnation: ids.Incarnation) -> Hello:
-    """Give the greeting of this process."""
+    """Return the handshake message of this process."""
     return Hello(ids.VmId(vm), incarnation, b'')
 
 
 def _decode(content: bytes) -> Any:
     try:
         return messages.decode_frame(content)
-    except (capnp.KjException, ValueError) as bad:
-        raise WrongPeer(f'a frame cannot be decoded: {bad}') from bad
+    except (capnp.KjException, ValueError) as failed:
+        raise WrongPeer(f'cannot decode a frame: {failed}') from failed
 
 
 def _expect_hello(message: Any) -> Hello:
     if not isinstance(message, Hello):
-        raise WrongPeer('the first frame is no greeting')
+        raise WrongPeer('the first frame is not a Hello')
     return message
--- a/flamingovalve/peer/server.py
+++ b/flamingovalve/peer/server.py
@@ -1,4 +1,4 @@
-"""Answers other VMs: one task for each of their connections."""
+"""The server side of the peer protocol: one task per connection."""
 
 from __future__ import annotations
 
@@ -46,7 +46,11 @@
 
 
 class Sink(Protocol):
-    """Where an answer is written: to a caller or back to a peer."""
+    """Where a response is written: to a caller or back to a peer.
+
+    :ivar started: whether the head of the response was written
+    :ivar ended: whether the response is complete
+    """
 
     started: bool
     ended: bool
@@ -66,7 +70,7 @@
 
 @dataclass
 class PeerServerCounts:
-    """What the server side of the peer protocol has seen."""
+    """Counters of the server side of the peer protocol."""
 
     connections: int = 0
     messages: int = 0
@@ -74,7 +78,7 @@
 
 
 class PeerSink:
-    """Writes an answer back to the VM that forwarded the request."""
+    """Writes a response back to the VM that forwarded the request."""
 
     def __init__(self, connection: PeerConnection) -> None:
         """Write to ``connection``."""
@@ -91,8 +95,8 @@
     async def start(self, status: int, headers: HeaderList) -> None:
         """Write the head of a response whose body comes in chunks."""
         self.started = True
-        listed = [Header(name, text) for name, text in headers]
-        await self._connection.send(ResponseHead(int(status), listed))
+        wire_headers = [Header(name, text) for name, text in headers]
+        await self._connection.send(ResponseHead(int(status), wire_headers))
 
     async def chunk(self, payload: bytes) -> None:
         """Write one chunk of the body."""
@@ -105,10 +109,11 @@
 
 
 class PeerWatch:
-    """Sends heartbeats while a request is worked on, and notices the end.
+    """Sends heartbeats while a request is processed.
 
-    Without heartbeats the forwarding VM could not tell a request that waits
-    for its adapter from a connection that went silent for good.
+    Without heartbeats the forwarding VM could not distinguish a request that
+    waits for its adapter from a broken connection. When the forwarding VM
+    closes the connection, the task that processes the request is cancelled.
     """
 
     def __init__(
@@ -116,34 +121,37 @@
         connection: PeerConnection,
         seconds: float = HEARTBEAT_SECONDS,
     ) -> None:
-        """Watch ``connection`` and beat every ``seconds``."""
+        """Send a heartbeat over ``connection`` every ``seconds``."""
         self._connection = connection
         self._seconds = seconds
         self._task: curio.Task | None = None
 
     async def __aenter__(self) -> None:
-        """Start to watch on behalf of the current task."""
-        waiting = await curio.current_task()
-        self._task = await curio.spawn(self._watch, waiting, daemon=True)
+        """Start the heartbeats; the current task is the one to cancel."""
+        worker = await curio.current_task()
+        self._task = await curio.spawn(
+            self._send_heartbeats, worker, daemon=True
+        )
 
     async def __aexit__(self, *_details: object) -> None:
-        """Stop watching."""
+        """Stop the heartbeats."""
         if self._task is not None:
             await self._task.cancel()
 
-    async def _watch(self, waiting: curio.Task) -> None:
-        beats = 0
+    async def _send_heartbeats(self, worker: curio.Task) -> None:
+        heartbeats = 0
         try:
-            while not await self._ended():
-                beats += 1
-                # Half a frame would garble the answer that follows it.
+            while not await self._is_closed():
+                heartbeats += 1
+                # A partly sent frame would corrupt the response after it.
                 async with curio.disable_cancellation():
-                    await self._connection.send(Heartbeat(beats))
+                    await self._connection.send(Heartbeat(heartbeats))
         except (OSError, ConnectionLost):
-            logger.debug('a forwarding peer went away')
-        await waiting.cancel(blocking=False)
+            logger.debug('a forwarding peer disconnected')
+        await worker.cancel(blocking=False)
 
-    async def _ended(self) -> bool:
+    async def _is_closed(self) -> bool:
+        """Wait for one interval, and return whether the peer has closed."""
         async with curio.ignore_after(self._seconds):
             opened = self._connection.socket
             peeked = await opened.recv(1, socket.MSG_PEEK)
@@ -162,43 +170,54 @@
         settings: Settings,
         incarnation: Incarnation,
     ) -> None:
-        """Speak as the VM of ``settings``."""
+        """Identify as the VM of ``settings``."""
         self.counts = PeerServerCounts()
         self._network = network
         self._settings = settings
         self._incarnation = incarnation
         self._keyring = Keyring.from_settings(settings.fleet)
         self._tasks = TaskSet()
-        self._askers: dict[type, Callable[..., Awaitable[Any]]] = {}
-        self._workers: dict[type, Callable[..., Awaitable[None]]] = {}
-        self._sessions: dict[type, Callable[..., Awaitable[None]]] = {}
+        self._responders_by_kind: dict[type, Callable[..., Awaitable[Any]]] = {}
+        self._response_writers_by_kind: dict[
+            type, Callable[..., Awaitable[None]]
+        ] = {}
+        self._session_servers_by_kind: dict[
+            type, Callable[..., Awaitable[None]]
+        ] = {}
 
     def on_session(
         self,
         kind: type,
-        server: Callable[..., Awaitable[None]],
+        serve_session: Callable[..., Awaitable[None]],
     ) -> None:
-        """Let ``server`` talk on the connection after a message of ``kind``.
+        """Hand over the connection after a message of ``kind``.
 
-        :param server: takes the message and the connection
+        :param serve_session: called with the message and the connection
         """
-        self._sessions[kind] = server
+        self._session_servers_by_kind[kind] = serve_session
 
     def on_ask(
         self,
         kind: type,
-        answerer: Callable[..., Awaitable[Any]],
+        respond: Callable[..., Awaitable[Any]],
     ) -> None:
-        """Answer messages of ``kind`` by the one message ``answerer`` gives."""
-        self._askers[kind] = answerer
+        """Reply to messages of ``kind`` with the message it returns.
+
+        :param respond: called with the message and the Hello of the peer
+        """
+        self._responders_by_kind[kind] = respond
 
     def on_work(
         self,
         kind: type,
-        answerer: Callable[..., Awaitable[None]],
+        write_response: Callable[..., Awaitable[None]],
     ) -> None:
-        """Answer messages of ``kind`` by what ``answerer`` writes to a sink."""
-        self._workers[kind] = answerer
+        """Reply to messages of ``kind`` with a streamed response.
+
+        :param write_response: called with the message and a
+            :class:`PeerSink`
+        """
+        self._response_writers_by_kind[kind] = write_response
 
     async def serve(self, listening: Socket) -> None:
         """Accept connections until cancelled."""
@@ -209,31 +228,31 @@
             await self._network.discard(listening)
 
     async def close(self) -> None:
-        """End every open connection."""
+        """Close every open connection."""
         await self._tasks.cancel()
 
     async def _accept(self, listening: Socket) -> None:
         try:
             opened = await self._network.accept(listening)
         except OSError as failed:
-            logger.warning('cannot accept a peer: {}', failed)
+            logger.warning('cannot accept a peer connection: {}', failed)
             await curio.sleep(0.1)
             return
         self.counts.connections += 1
-        await self._tasks.spawn(self._connection, opened)
+        await self._tasks.spawn(self._serve_connection, opened)
 
-    async def _connection(self, opened: Socket) -> None:
+    async def _serve_connection(self, opened: Socket) -> None:
         connection = PeerConnection(self._network, opened)
         own = own_hello(self._settings.vm.id, self._incarnation)
         try:
-            await connection.welcome(self._keyring, own)
+            await connection.accept_handshake(self._keyring, own)
             while True:
                 message = await connection.receive()
                 self.counts.messages += 1
                 await self._dispatch(message, connection)
-        except WrongPeer as wrong:
+        except WrongPeer as rejected:
             self.counts.rejected += 1
-            logger.debug('a peer was rejected: {}', wrong)
+            logger.debug('a peer connection was rejected: {}', rejected)
         except (OSError, ConnectionLost):
             logger.debug('a peer connection ended')
         finally:
@@ -245,22 +264,26 @@
         connection: PeerConnection,
     ) -> None:
         kind = type(message)
-        asker = self._askers.get(kind)
-        session = self._sessions.get(kind)
-        if asker is not None:
-            await connection.send(await asker(message, connection.remote))
-        elif session is not None:
-            await session(message, connection)
-        elif kind in self._workers:
-            await self._work(message, connection)
+        respond = self._responders_by_kind.get(kind)
+        serve_session = self._session_servers_by_kind.get(kind)
+        if respond is not None:
+            await connection.send(await respond(message, connection.remote))
+        elif serve_session is not None:
+            await serve_session(message, connection)
+        elif kind in self._response_writers_by_kind:
+            await self._serve_forwarded(message, connection)
         else:
-            raise WrongPeer(f'{kind.__name__} is not asked on its own')
+            raise WrongPeer(f'no handler for messages of type {kind.__name__}')
 
-    async def _work(self, message: Any, connection: PeerConnection) -> None:
+    async def _serve_forwarded(
+        self, message: Any, connection: PeerConnection
+    ) -> None:
         sink = PeerSink(connection)
         try:
             async with PeerWatch(connection):
-                await self._workers[type(message)](message, sink)
+                await self._response_writers_by_kind[type(message)](
+                    message, sink
+                )
         except ServingError as refused:
             if sink.started:
                 raise ConnectionLost(refused.message) from refused
@@ -268,12 +291,12 @@
         except (OSError, ConnectionLost):
             raise
         except Exception as fault:
-            logger.error('a forwarded request crashed: {!r}', fault)
-            raise ConnectionLost('fault in the executor') from fault
+            logger.error('a forwarded request raised {!r}', fault)
+            raise ConnectionLost('internal error in the executor') from fault
 
 
 def refusal_of(error: ServingError) -> Refusal:
-    """Give the message that carries ``error`` to another VM."""
+    """Return the message that carries ``error`` to another VM."""
     return Refusal(
         error.kind.label,
         error.message,
@@ -283,7 +306,7 @@
 
 
 def error_of(refusal: Refusal) -> ServingError:
-    """Give the error that ``refusal`` carries."""
+    """Return the error that ``refusal`` carries."""
     return ServingError(
         BY_LABEL[refusal.kind],
         refusal.message,
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -1,4 +1,4 @@
-"""Fleets without a published list: VMs that join by way of others."""
+"""Fleets without a published list, whose VMs join by rumours."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def rumour(vm: VmId, incarnation: int, **changes: object) -> MemberRumour:
-    """Give the rumour that a VM lives."""
+    """Return a rumour that a VM is alive."""
     made = MemberRumour(
         vm,
         Incarnation(incarnation),
@@ -37,24 +37,24 @@
 
 
 class TestJoining(TimedTestCase):
-    """One VM and those that it hears of."""
+    """One VM that receives rumours of other VMs."""
 
     def setUp(self) -> None:
-        """Start a VM that knows a seed by its address alone."""
+        """Start a VM that knows only the address of a seed."""
         super().setUp()
         self.members = MemberTable(OWN, Incarnation(5))
         own = PublishedVm(OWN, DomainId('east'), 'front', OWN)
         self.members.open(own, [OWN, OTHER])
         settings = FleetSettings()
         self.gossip = Gossip(None, self.members, settings, random.Random(1))
-        self.told: list[tuple[VmId, VmId]] = []
-        self.gossip._send = self._note
+        self.introductions: list[tuple[VmId, VmId]] = []
+        self.gossip._send = self._record_rumours
 
-    async def _note(self, target, _content, more=()):
-        """Note who is told of whom."""
-        self.told.extend((target.vm.id, entry.vm) for entry in more)
+    async def _record_rumours(self, target, _content, more=()):
+        """Record which VM is sent rumours of which other."""
+        self.introductions.extend((target.vm.id, entry.vm) for entry in more)
 
-    def test_details_of_a_seed_that_was_heard_directly_first(self):
+    def test_details_of_a_seed_whose_datagram_came_first(self):
         """VMs that miss the size or failure domain of a seed rank it differently."""
         self.members.apply(rumour(OTHER, 7, domain='', http_address=''))
         complete = rumour(OTHER, 7, cores=2.0)
@@ -65,59 +65,60 @@
         self.assertEqual(seed.vm.failure_domain, 'east')
         self.assertEqual(seed.vm.http_address, f'{OTHER}-front')
 
-    def test_details_of_an_earlier_process_are_not_taken(self):
+    def test_details_of_an_earlier_process_are_ignored(self):
         self.members.apply(rumour(OTHER, 7, cores=2.0))
         self.assertFalse(self.members.apply(rumour(OTHER, 6, cores=1.0)))
         self.assertEqual(self.members.by_id[OTHER].cores, 2)
 
-    def hear(self, *rumours: MemberRumour) -> None:
-        """Let the VM hear rumours."""
+    def apply(self, *rumours: MemberRumour) -> None:
+        """Apply rumours at the VM."""
 
-        async def take():
+        async def apply_all():
             for entry in rumours:
-                await self.gossip._take_member(entry)
+                await self.gossip._apply_member_rumour(entry)
 
-        curio.run(take)
+        curio.run(apply_all)
 
     def test_seed_is_a_member_before_it_answers(self):
         self.assertIn(OTHER, self.members.by_id)
 
     def test_vm_joins_by_a_rumour(self):
-        self.hear(rumour(THIRD, 1))
+        self.apply(rumour(THIRD, 1))
         self.assertEqual(self.members.by_id[THIRD].vm.failure_domain, 'east')
 
-    def test_rumour_of_a_dead_stranger_is_left_out(self):
-        self.hear(rumour(THIRD, 1, state=MemberState.DEAD))
+    def test_rumour_of_an_unknown_dead_vm_is_ignored(self):
+        self.apply(rumour(THIRD, 1, state=MemberState.DEAD))
         self.assertNotIn(THIRD, self.members.by_id)
 
-    def test_newcomer_is_told_of_the_others(self):
-        self.hear(rumour(OTHER, 1), rumour(THIRD, 1))
-        self.assertIn((THIRD, OTHER), self.told)
+    def test_new_vm_is_sent_the_members(self):
+        self.apply(rumour(OTHER, 1), rumour(THIRD, 1))
+        self.assertIn((THIRD, OTHER), self.introductions)
 
-    def test_restarted_vm_is_told_of_the_others(self):
-        """A VM is restarted at its old address.
+    def test_restarted_vm_is_sent_the_members(self):
+        """A VM that restarts at its old address is sent the member list.
 
-        Nobody told it who else there is, so it knew a quarter of the fleet
-        for seconds, took itself for the owner of the engines, and the two
-        owners ordered in turns.
+        Without the list it knows a quarter of the fleet for seconds and
+        regards itself as the owner of the engines. The engines then get
+        orders from two owners in turn.
         """
-        self.hear(rumour(OTHER, 1), rumour(THIRD, 1))
-        self.told.clear()
-        self.hear(rumour(THIRD, 2))
-        self.assertIn((THIRD, OTHER), self.told)
+        self.apply(rumour(OTHER, 1), rumour(THIRD, 1))
+        self.introductions.clear()
+        self.apply(rumour(THIRD, 2))
+        self.assertIn((THIRD, OTHER), self.introductions)
 
-    def test_restarted_vm_that_speaks_itself_is_told_of_the_others(self):
-        """Three of four VMs are restarted together and speak to the fourth.
+    def test_restarted_vm_that_sends_first_is_sent_the_members(self):
+        """Three of four VMs restart together and contact the fourth.
 
-        It noted that they run anew and told nobody, so they never heard of
-        each other, and each could own what another one owned.
+        If the fourth records their new incarnations but tells no other VM,
+        the three never learn of each other, and several can own the same
+        engines.
         """
-        self.hear(rumour(OTHER, 1), rumour(THIRD, 1))
-        self.told.clear()
+        self.apply(rumour(OTHER, 1), rumour(THIRD, 1))
+        self.introductions.clear()
         ping = Ping(OWN, THIRD, 0)
         datagram = Datagram(THIRD, Incarnation(2), 1, [], ping)
-        curio.run(self.gossip._heard, datagram)
-        self.assertIn((THIRD, OTHER), self.told)
+        curio.run(self.gossip._record_sender, datagram)
+        self.assertIn((THIRD, OTHER), self.introductions)
         self.assertTrue(
             any(
                 entry.vm == THIRD and entry.incarnation == 2
@@ -125,21 +126,22 @@
             ),
         )
 
-    def test_process_whose_clock_was_set_back_is_heard_again(self):
-        """The clock was set back before this process started.
+    def test_process_whose_clock_was_set_back_is_accepted(self):
+        """The clock of a VM is set back before its process starts.
 
-        Its number is lower than that of the process before it, so all that
-        it said was dropped as old, and nobody sent callers to it.
+        Its incarnation is then lower than that of the previous process. If it
+        keeps that, the other VMs drop its messages as old and send no callers
+        to it.
         """
-        self.hear(rumour(OWN, 9))
+        self.apply(rumour(OWN, 9))
         self.assertGreater(self.members.own_incarnation, 9)
 
 
 class TestManyJoin(TimedTestCase):
-    """A fleet of 140 that starts together, as one of its VMs sees it."""
+    """140 VMs that start together, as seen by one of them."""
 
     def setUp(self) -> None:
-        """Start a VM that knows nobody."""
+        """Start a VM that knows no other."""
         super().setUp()
         self.members = MemberTable(OWN, Incarnation(5))
         own = PublishedVm(OWN, DomainId('east'), 'front', OWN)
@@ -150,22 +152,22 @@
         self.gossip._send = self._count
 
     async def _count(self, _target, _content, _more=()):
-        """Count what is sent."""
+        """Count the datagrams that are sent."""
         self.datagrams += 1
 
-    def test_news_of_joins_is_told_in_few_datagrams(self):
-        """All VMs of a large fleet start within a moment.
+    def test_rumours_of_joins_share_datagrams(self):
+        """All VMs of a large fleet start at about the same time.
 
-        Each pushed every join to four others and told every newcomer of all
-        the rest. The fleet sent 670,000 datagrams, and its small VMs took
-        four seconds before they could serve.
+        If each VM pushes every join to four others and sends every new VM
+        the whole member list, the fleet sends 670,000 datagrams, and its
+        small VMs need four seconds before they can serve.
         """
 
-        async def hear_all():
+        async def apply_all():
             for number in range(140):
                 vm = VmId(f'10.0.1.{number}:7000')
-                await self.gossip._take_member(rumour(vm, 1))
+                await self.gossip._apply_member_rumour(rumour(vm, 1))
                 self.advance(0.002)
 
-        curio.run(hear_all)
+        curio.run(apply_all)
         self.assertLess(self.datagrams, 200)
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines never hold up a process."""
+"""Writing log lines never blocks a process."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class TestLineWriter(unittest.TestCase):
-    """A pipe whose reader comes and goes."""
+    """A line writer on a pipe whose reader may stop reading."""
 
     def setUp(self) -> None:
-        """Open a pipe."""
-        self.prefill, writing = os.pipe()
-        self.addCleanup(os.close, self.prefill)
-        self.addCleanup(os.close, writing)
-        self.writer = LineWriter(writing)
+        """Open a pipe with a line writer at its write end."""
+        self.read_end, write_end = os.pipe()
+        self.addCleanup(os.close, self.read_end)
+        self.addCleanup(os.close, write_end)
+        self.writer = LineWriter(write_end)
 
     def read_lines(self):
-        """Read what is in the pipe."""
-        os.set_blocking(self.prefill, False)
-        return os.read(self.prefill, 1 << 20).decode().splitlines()
+        """Return the lines in the pipe."""
+        os.set_blocking(self.read_end, False)
+        return os.read(self.read_end, 1 << 20).decode().splitlines()
 
     def test_line_is_written(self):
         self.writer.write('one\n')
         self.assertEqual(self.read_lines(), ['one'])
 
-    def test_reader_that_stops_holds_up_nothing(self):
-        """Whoever collects the logs stops reading for a while.
+    def test_stopped_reader_does_not_block_writes(self):
+        """The log collector stops reading for a while.
 
-        With a write that waits, every request of the process would hang
-        until the collector reads again.
+        If writes blocked, every request of the process would hang until the
+        collector reads again. The lines are dropped and counted instead.
         """
         for _line in range(200):
             self.writer.write('x' * 1000 + '\n')
@@ -41,10 +41,10 @@
         dropped = self.writer.dropped
         self.assertEqual(len(written) + dropped, 200)
         self.writer.write('after\n')
-        count, last = self.read_lines()
-        self.assertEqual(json.loads(count)['lines'], dropped)
+        dropped_notice, last = self.read_lines()
+        self.assertEqual(json.loads(dropped_notice)['lines'], dropped)
         self.assertEqual(last, 'after')
 
-    def test_long_line_is_shortened(self):
+    def test_long_line_is_truncated(self):
         self.writer.write('x' * 100000 + '\n')
         self.assertLessEqual(len(self.read_lines()[0]), 4096)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: authenticity, rotation of keys, and what gossip costs."""
+"""Membership: authentication, key rotation and the cost of gossip."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ReplayWindowTest(unittest.TestCase):
-    """Each number of a sender counts once."""
+    """Each sequence number of a sender is accepted once."""
 
     @given(st.lists(st.integers(0, 600), max_size=80))
     def test_against_a_set(self, numbers):
@@ -36,25 +36,25 @@
 
 
 class AuthenticityTest(unittest.TestCase):
-    """Datagrams and connections of strangers."""
+    """Datagrams and connections from outside the fleet."""
 
     def setUp(self):
-        """Start a fleet and a way to send it datagrams."""
+        """Start a fleet and open a socket that is not part of it."""
         self.fleet = Fleet.started(Shape(vms=3, engines=1))
         self.addCleanup(self.fleet.close)
-        self.stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.addCleanup(self.stranger.close)
+        self.outsider = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.addCleanup(self.outsider.close)
         self.vm = self.fleet.vms_by_id['vm-0']
         self.counts = self.fleet.daemon('vm-0').gossip.counts
 
     def send(self, datagram):
         """Send raw bytes to a VM's membership port."""
         address = split_address(self.vm.peer_address)
-        self.stranger.sendto(datagram, address)
+        self.outsider.sendto(datagram, address)
         self.fleet.world.advance(0.2)
 
     def sealed(self, sequence, counter, incarnation=1 << 62):
-        """Give an authentic datagram that says vm-1 is dead."""
+        """Return an authentic datagram that says vm-1 is dead."""
         rumour = messages.MemberRumour(
             'vm-1',
             self.fleet.daemon('vm-1').incarnation,
@@ -72,10 +72,10 @@
         ring = Keyring.from_settings(settings.fleet)
         return ring.seal(messages.encode_datagram(datagram))
 
-    def test_rubbish_and_forgery(self):
-        """Somebody sends garbage, and a message under another key.
+    def test_garbage_and_forgery(self):
+        """Garbage and messages under another key are dropped and counted.
 
-        Both are dropped and counted; nothing else happens.
+        They have no other effect.
         """
         self.send(b'')
         self.send(b'\x00' * 40)
@@ -89,7 +89,7 @@
         self.assertEqual(self.fleet.complete('vm-0', 'adapter-1').status, 200)
 
     def test_replay(self):
-        """A recorded datagram is sent again: it is refused."""
+        """A recorded datagram that is sent again is rejected."""
         recorded = self.sealed(5, 0)
         self.send(recorded)
         before = self.counts.replayed
@@ -97,16 +97,16 @@
         self.assertEqual(self.counts.replayed, before + 1)
 
     def test_false_accusation_is_refuted(self):
-        """A VM is told that another is dead; that one is heard to differ."""
+        """A VM that is falsely reported dead refutes the rumour."""
         self.send(self.sealed(1, 0))
         self.fleet.world.advance(5)
         member = self.fleet.daemon('vm-0').members.by_id['vm-1']
         self.assertIs(member.state, messages.MemberState.ALIVE)
 
-    def test_stranger_on_a_peer_connection(self):
-        """Somebody opens a peer connection without the key."""
+    def test_peer_connection_without_the_key(self):
+        """A peer connection without the key is rejected and closed."""
 
-        async def talk(address):
+        async def connect_without_key(address):
             network = self.fleet.caller.network
             opened = await network.connect(address, 1)
             await opened.sendall(b'\x00\x00\x00\x04' + b'x' * 20)
@@ -116,7 +116,7 @@
 
         received = self.fleet.world.ask(
             self.fleet.caller.node,
-            talk,
+            connect_without_key,
             self.vm.peer_address,
         )
         self.assertEqual(received, b'')
@@ -125,10 +125,10 @@
 
 
 class RotationTest(unittest.TestCase):
-    """The key of the fleet is changed while it runs."""
+    """The key of the fleet is rotated while it runs."""
 
     def test_old_and_new_settings_understand_each_other(self):
-        """One VM has the new key first; nobody takes it for dead."""
+        """One VM has the new key before the others, and is not marked dead."""
 
         def tune(settings):
             is_new = settings.vm.id == 'vm-1'
@@ -147,7 +147,7 @@
 
 
 class CostTest(unittest.TestCase):
-    """Membership costs a VM the same whatever the fleet's size."""
+    """The membership cost per VM does not depend on the fleet size."""
 
     def test_datagrams_do_not_grow_with_the_fleet(self):
         rates = []
@@ -163,16 +163,16 @@
         self.assertLess(rates[1], rates[0] * 1.3)
 
     def sent(self, fleet):
-        """Add up the datagrams of all VMs."""
+        """Return the number of datagrams that all VMs sent."""
         return sum(daemon.gossip.counts.sent for daemon in fleet.daemons())
 
-    def test_news_is_told_a_bounded_number_of_times(self):
+    def test_rumours_are_sent_a_bounded_number_of_times(self):
         queue = RumourQueue()
         for index in range(20):
             queue.add(messages.VersionRumour(f'vm-{index}', index, 1))
             queue.add(messages.PoisonRumour(index, 1, 1))
-        told = 0
+        batches = 0
         while queue.take(8, 760):
-            told += 1
-            self.assertLess(told, 200)
+            batches += 1
+            self.assertLess(batches, 200)
         self.assertEqual(len(queue), 0)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Every message between VMs survives its encoding."""
+"""Messages between VMs are equal after encoding and decoding."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 
 class TestFrames(unittest.TestCase):
-    """Messages on a connection between two VMs."""
+    """Frames on a peer connection."""
 
     def test_place_ask(self):
         sent = ask('adapter')
-        got = messages.decode_frame(messages.encode_frame(sent))
-        self.assertEqual(got, sent)
+        decoded = messages.decode_frame(messages.encode_frame(sent))
+        self.assertEqual(decoded, sent)
 
-    def test_message_within_a_message(self):
-        """A VM tells a new owner of a place with the request it was for.
+    def test_nested_message(self):
+        """A VM reports a place to a new owner, with the request it is for.
 
-        The request was not encoded, the telling task crashed, and the new
-        owner ordered out adapters in use.
+        If the nested request is not encoded, the reporting task crashes, and
+        the new owner orders adapters unloaded that are in use.
         """
         sent = messages.PlaceHold(ask('adapter'), UpstreamId('engine-0'))
-        got = messages.decode_frame(messages.encode_frame(sent))
-        self.assertEqual(got, sent)
+        decoded = messages.decode_frame(messages.encode_frame(sent))
+        self.assertEqual(decoded, sent)
 
     def test_list_of_documents(self):
         document = messages.Document('key', 7, b'content', deleted=False)
         sent = messages.DocumentsReply([document])
-        got = messages.decode_frame(messages.encode_frame(sent))
-        self.assertEqual(got, sent)
+        decoded = messages.decode_frame(messages.encode_frame(sent))
+        self.assertEqual(decoded, sent)
 
-    def test_outcome_of_a_place(self):
+    def test_place_end(self):
         sent = messages.PlaceEnd(messages.PlaceOutcome.REFUSED, 0.25)
-        got = messages.decode_frame(messages.encode_frame(sent))
-        self.assertEqual(got, sent)
+        decoded = messages.decode_frame(messages.encode_frame(sent))
+        self.assertEqual(decoded, sent)
