--- a/flamingovalve/claims/__init__.py
+++ b/flamingovalve/claims/__init__.py
@@ -1,1 +1,1 @@
-"""At most one run of each non-idempotent request."""
+"""At-most-once execution of non-idempotent requests."""
--- a/flamingovalve/claims/executor.py
+++ b/flamingovalve/claims/executor.py
@@ -1,7 +1,7 @@
-"""Takes non-idempotent calls, each of which runs at most once.
+"""Executes non-idempotent calls, each of which runs at most once.
 
-Finds the process that may run a call: ourselves, or another VM to which the
-call is passed on. See docs/design/at-most-once.md for the argument.
+Finds the process that may run a call: this one, or one on another VM to which
+the call is forwarded. docs/design/at-most-once.md shows why no call runs twice.
 """
 
 from __future__ import annotations
@@ -39,23 +39,26 @@
     from flamingovalve.membership.members import MemberTable
     from flamingovalve.relay.services import ServiceRelay, ServiceRequest
 
-LONGEST_ROUTE: Final = 2
+MAX_HOPS: Final = 2
 
 
 class ForwardFailed(Exception):
-    """A call could not be passed to the VM that should run it.
+    """A call could not be forwarded to the VM that should run it.
 
-    :ivar ended: the process there is provably gone
+    :ivar ended: the process there has provably ended
     """
 
     def __init__(self, message: str, *, ended: bool) -> None:
-        """State why."""
+        """Create the error with its reason."""
         super().__init__(message)
         self.ended = ended
 
 
 class CallExecutor:
-    """Takes non-idempotent calls, as executor or on the way to one."""
+    """Runs non-idempotent calls or forwards them to their executor.
+
+    :ivar starts_none: refuse and seal new calls, as while this VM leaves
+    """
 
     def __init__(
         self,
@@ -66,7 +69,7 @@
         relay: ServiceRelay,
         forward: Callable[[VmId, Any], Awaitable[Response]],
     ) -> None:
-        """Run calls over ``relay`` and pass others on by ``forward``."""
+        """Run calls over ``relay`` and forward others by ``forward``."""
         self.table = ClaimTable(settings.claims)
         self.runner = ClaimRunner(
             (settings.vm.id, incarnation),
@@ -85,49 +88,52 @@
         self._forward = forward
 
     def make_permit(self, application: str, service: str, call: str) -> str:
-        """Give a permit that this process will honour."""
+        """Return a new permit whose call this process can run."""
         own = self._members.by_id.get(self._own_id)
         witness = self._holders.witness_for(own) if own else None
-        named = (VmId(''), Incarnation(0))
+        identity = (VmId(''), Incarnation(0))
         if witness is not None:
-            named = (VmId(witness.vm.id), witness.incarnation)
+            identity = (VmId(witness.vm.id), witness.incarnation)
         scope = scope_of(application, service, call)
-        return self._permits.make(scope, named, self._settings.permit_seconds)
+        return self._permits.make(
+            scope, identity, self._settings.permit_seconds
+        )
 
     async def execute(
         self,
         request: ServiceRequest,
         addresses: list[str],
     ) -> Response:
-        """Run the call here or where it belongs.
+        """Run the call here, or forward it to its executor.
 
         :param addresses: replicas of the service
-        :raises ServingError: when there is no answer; ``ran`` tells whether
-            the call may have run
+        :returns: the response of the service, also for a resend
+        :raises ServingError: when there is no answer; its ``ran`` states
+            whether the call may have run
         """
         if not request.key:
             raise refusals.claim_needed()
         if is_permit(request.key):
-            return await self._with_permit(request, addresses)
-        return await self._with_own_key(request, addresses)
+            return await self._execute_with_permit(request, addresses)
+        return await self._execute_with_own_key(request, addresses)
 
     # -- Permits
 
-    async def _with_permit(
+    async def _execute_with_permit(
         self,
         request: ServiceRequest,
         addresses: list[str],
     ) -> Response:
-        permit = _checked_permit(request)
+        permit = _parse_checked_permit(request)
         claim = Claim(
             request,
             ClaimKey(request.key),
             body_digest(request),
             addresses,
-            _witnesses(permit),
+            _witnesses_of(permit),
         )
         if permit.executor != self._own_id:
-            return await self._pass_to_executor(claim, permit)
+            return await self._forward_to_executor(claim, permit)
         if permit.executor_incarnation != self._incarnation:
             return await self._ask_witness(claim, permit, ended=True)
         if not self._permits.is_ours(request.key):
@@ -136,23 +142,23 @@
         return await self._run_or_join(claim)
 
     def _check_expiry(self, claim: Claim, permit: Permit) -> None:
-        late = clock.wall() - permit.expires_at
-        if late <= 0 or self.table.find(claim.key) is not None:
+        overdue = clock.wall() - permit.expires_at
+        if overdue <= 0 or self.table.find(claim.key) is not None:
             return
-        if late > self._settings.record_seconds / 2:
-            # The record of a run may have been dropped by now.
+        if overdue > self._settings.record_seconds / 2:
+            # The record of a run may have expired by now.
             raise refusals.expired(Ran.UNKNOWN)
-        nobody = (VmId(''), Incarnation(0))
-        self.table.add(claim.key, ClaimState.SEALED, nobody, b'')
+        no_executor = (VmId(''), Incarnation(0))
+        self.table.add(claim.key, ClaimState.SEALED, no_executor, b'')
         raise refusals.expired(Ran.NOT)
 
-    async def _pass_to_executor(
+    async def _forward_to_executor(
         self,
         claim: Claim,
         permit: Permit,
     ) -> Response:
-        if claim.request.hops >= LONGEST_ROUTE:
-            raise refusals.outcome_unknown('it was passed on too often')
+        if claim.request.hops >= MAX_HOPS:
+            raise refusals.outcome_unknown('it was forwarded too often')
         ended = False
         member = self._members.by_id.get(permit.executor)
         replaced = (
@@ -173,20 +179,24 @@
         *,
         ended: bool,
     ) -> Response:
-        """Settle a permit whose executor cannot be asked.
+        """Ask the witness of a permit whose executor cannot be reached.
 
-        The executor needs the witness before it runs. A witness that has no
-        record seals the key, and then the call can never run.
+        The executor runs the call only after the witness acknowledged it. A
+        witness without a record seals the key, so the call can never run.
         """
         if not permit.witness:
-            raise self._unknown('its executor is gone and had no witness')
+            raise self._unknown_outcome('its executor ended and had no witness')
         ask = SealAsk(claim.key, permit.witness_incarnation, claim.body_digest)
         _incarnation, reply = await self._seal_at(permit.witness, ask)
         if reply is None or reply.state is ClaimState.REFUSED:
-            raise self._unknown('neither executor nor witness can tell')
+            raise self._unknown_outcome(
+                'neither its executor nor its witness knows'
+            )
         if reply.state is ClaimState.CLAIMED and not ended:
-            raise self._unknown('its executor does not answer', retry_after=2)
-        return self._settled(reply)
+            raise self._unknown_outcome(
+                'its executor does not answer', retry_after=2
+            )
+        return self._response_of(reply)
 
     async def _seal_at(
         self,
@@ -196,12 +206,12 @@
         if vm == self._own_id:
             reply = await self.table.seal(ask, self._incarnation)
             return self._incarnation, reply
-        answered = await self._holders.ask(vm, ask)
-        return answered.incarnation, answered.reply
+        holder_reply = await self._holders.ask(vm, ask)
+        return holder_reply.incarnation, holder_reply.reply
 
-    # -- The caller's own keys
+    # -- Keys made by the caller
 
-    async def _with_own_key(
+    async def _execute_with_own_key(
         self,
         request: ServiceRequest,
         addresses: list[str],
@@ -217,20 +227,23 @@
             quorum=self._holders.quorum(key, made_at),
         )
         for name in claim.holder_names():
-            response = await self._at_holder(name, claim)
+            response = await self._execute_at_holder(name, claim)
             if response is not None:
                 return response
-        raise await self._blocked(claim)
+        raise await self._refuse_blocked(claim)
 
-    async def _at_holder(self, name: VmId, claim: Claim) -> Response | None:
+    async def _execute_at_holder(
+        self, name: VmId, claim: Claim
+    ) -> Response | None:
         """Run a claim at one of its holders.
 
-        :returns: nothing when that holder does not answer; the next one may
-            run it, for the silent one alone cannot let it run again
+        :returns: None if that holder does not answer. The next holder may
+            then run it: the silent one alone is no majority, so it cannot
+            allow a second run
         """
         if name == self._own_id:
             return await self._run_or_join(claim)
-        if claim.request.hops >= LONGEST_ROUTE:
+        if claim.request.hops >= MAX_HOPS:
             return None
         try:
             return await self._forward(name, claim.request)
@@ -242,23 +255,24 @@
         if age < -self._settings.skew_seconds:
             raise refusals.clock_ahead()
         if age > self._settings.key_seconds:
-            # Its record may be gone, so a run now might be the second one.
+            # Its record may have expired, so this could be a second run.
             raise refusals.key_too_old(self._settings.key_seconds)
 
-    async def _blocked(self, claim: Claim) -> ServingError:
-        """Refuse a call because too few of its holders answer."""
+    async def _refuse_blocked(self, claim: Claim) -> ServingError:
+        """Seal a call for which too few holders answer; return its error."""
         self.counts.blocked += 1
         if await self._seal_at_holders(claim):
             return refusals.holders_silent()
-        return self._unknown('too few VMs that remember its key answer')
+        return self._unknown_outcome('too few VMs that remember its key answer')
 
     async def _seal_at_holders(self, claim: Claim) -> bool:
-        """See to it that a call never runs under a caller's own key.
+        """Ensure that a call never runs under a caller's own key.
 
-        Sealed at a quorum, so that no other quorum is left for a run. One
-        holder would not do: if it ended, others would run the call.
+        The key is sealed at a quorum, so that no quorum is left for a run. A
+        seal at one holder is not enough: if that one ended, the others could
+        still run the call.
 
-        :returns: whether "not run" is true and stays so
+        :returns: whether "not run" is true for good
         """
         assert claim.quorum is not None
         ask = SealAsk(claim.key, Incarnation(0), claim.body_digest)
@@ -279,17 +293,18 @@
             raise refusals.key_reused()
         else:
             self.counts.joined += 1
-        if self._is_ours(record):
-            await self._wait(record, claim)
+        if self._is_executor_of(record):
+            await self._wait_until_settled(record, claim)
         if record.state is ClaimState.CLAIMED:
-            # Another executor was acknowledged before us, or meanwhile.
-            return await self._pass_to_claimant(record, claim)
-        return self._settled(reply_of(record, claim.body_digest))
+            # Another executor was acknowledged for this key, before this one
+            # asked or while this request waited.
+            return await self._forward_to_claimant(record, claim)
+        return self._response_of(reply_of(record, claim.body_digest))
 
     async def _start(self, claim: Claim) -> ClaimRecord:
         if self.starts_none:
-            # Leaving: resends are still answered, new calls are sealed, so
-            # that "not run" stays true after this process has ended.
+            # While this VM leaves, it still answers resends. New calls are
+            # sealed, so that "not run" stays true after this process ended.
             raise await self._refuse_to_start(claim, refusals.leaving())
         own = (self._own_id, self._incarnation)
         record = self.table.add(
@@ -308,53 +323,55 @@
         claim: Claim,
         refusal: ServingError,
     ) -> ServingError:
-        # Another copy of this call may still be on its way. Only a seal
-        # makes sure that it does not run after all.
-        if await self._seal_for_good(claim):
+        # Another copy of this call may still arrive, here or at another VM.
+        # Only a seal ensures that it does not run then.
+        if await self._seal_call(claim):
             return refusal
-        return self._unknown('this VM cannot record the call')
+        return self._unknown_outcome('this VM cannot record the call')
 
-    async def _seal_for_good(self, claim: Claim) -> bool:
+    async def _seal_call(self, claim: Claim) -> bool:
         if claim.quorum is not None:
             return await self._seal_at_holders(claim)
-        # Nobody but this process can run a permit of its own.
+        # Only this process can run the call of its own permit.
         ask = SealAsk(claim.key, Incarnation(0), claim.body_digest)
         reply = await self.table.seal(ask, self._incarnation)
         return reply.state is ClaimState.SEALED
 
-    async def _wait(self, record: ClaimRecord, claim: Claim) -> None:
+    async def _wait_until_settled(
+        self, record: ClaimRecord, claim: Claim
+    ) -> None:
         remaining = max(claim.request.remaining(), 0)
         async with curio.ignore_after(remaining):
             await record.settled.wait()
         if not record.settled.is_set():
-            raise self._unknown('it still runs', retry_after=1)
+            raise self._unknown_outcome('it is still running', retry_after=1)
 
-    def _is_ours(self, record: ClaimRecord) -> bool:
+    def _is_executor_of(self, record: ClaimRecord) -> bool:
         owner = (record.executor, record.incarnation)
         return owner == (self._own_id, self._incarnation)
 
-    async def _pass_to_claimant(
+    async def _forward_to_claimant(
         self,
         record: ClaimRecord,
         claim: Claim,
     ) -> Response:
-        if claim.request.hops >= LONGEST_ROUTE:
-            raise self._unknown('another VM runs it', retry_after=1)
+        if claim.request.hops >= MAX_HOPS:
+            raise self._unknown_outcome('another VM runs it', retry_after=1)
         try:
             return await self._forward(record.executor, claim.request)
         except ForwardFailed as failed:
             reason = f'{record.executor} claimed it and does not answer'
-            raise self._unknown(reason) from failed
+            raise self._unknown_outcome(reason) from failed
 
     # -- Outcomes
 
-    def _settled(self, reply: ClaimReply) -> Response:
+    def _response_of(self, reply: ClaimReply) -> Response:
         if reply.state is ClaimState.FINISHED:
             return self._replay(reply)
         if reply.state is ClaimState.SEALED:
             self.counts.sealed += 1
             raise refusals.sealed()
-        raise self._unknown('its executor ended or lost the upstream')
+        raise self._unknown_outcome('its executor ended or lost the upstream')
 
     def _replay(self, reply: ClaimReply) -> Response:
         self.counts.replayed += 1
@@ -363,7 +380,7 @@
         headers = [('content-type', reply.content_type)]
         return Response(reply.status, headers, reply.answer)
 
-    def _unknown(
+    def _unknown_outcome(
         self,
         reason: str,
         retry_after: float | None = None,
@@ -372,26 +389,26 @@
         return refusals.outcome_unknown(reason, retry_after)
 
 
-def _witnesses(permit: Permit) -> list[tuple[VmId, Incarnation]]:
+def _witnesses_of(permit: Permit) -> list[tuple[VmId, Incarnation]]:
     if not permit.witness:
         return []
     return [(permit.witness, permit.witness_incarnation)]
 
 
 def _same_body(record: ClaimRecord, claim: Claim) -> bool:
-    known = record.body_digest
-    return not known or known == claim.body_digest
+    recorded = record.body_digest
+    return not recorded or recorded == claim.body_digest
 
 
-def _checked_permit(request: ServiceRequest) -> Permit:
-    outcome = parse_permit(request.key)
-    if outcome.is_error():
-        raise outcome.error
+def _parse_checked_permit(request: ServiceRequest) -> Permit:
+    parsed = parse_permit(request.key)
+    if parsed.is_error():
+        raise parsed.error
     scope = scope_of(request.application, request.service, request.call)
-    if outcome.ok.scope != scope:
+    if parsed.ok.scope != scope:
         raise ServingError(
             ErrorKind.CLAIM_NEEDED,
-            f'the permit is good for {outcome.ok.scope!r}, not {scope!r}; '
+            f'the permit is valid for {parsed.ok.scope!r}, not {scope!r}; '
             'ask /v1/entry for one of this call',
         )
-    return outcome.ok
+    return parsed.ok
--- a/flamingovalve/claims/holders.py
+++ b/flamingovalve/claims/holders.py
@@ -1,4 +1,4 @@
-"""Which VMs remember a key, and asking them."""
+"""Choosing the VMs that record a key, and sending them requests."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     from flamingovalve.peer.client import PeerPool
 
 HOLDERS_PER_KEY = 3
-_MICROSECONDS = 1_000_000
+_MICROSECONDS_PER_SECOND = 1_000_000
 
 
 @dataclass(slots=True)
 class HolderReply:
-    """What asking a holder gave.
+    """The result of a request to a holder.
 
-    :ivar reply: its answer, if there was one
-    :ivar incarnation: the process that answered
+    :ivar reply: its reply; None if there was none
+    :ivar incarnation: the process that replied
     """
 
     reply: Any = None
@@ -34,12 +34,12 @@
 
 @dataclass(slots=True)
 class Quorum:
-    """Whose acknowledgements a run needs.
+    """The holders whose acknowledgements a run needs.
 
-    :ivar names: the holders in the order to ask
-    :ivar needed: holders without which it must not run
-    :ivar count: how many are needed in all
-    :ivar since: Unix time; a holder that started later does not count, for
+    :ivar names: the holders, in the order in which they are asked
+    :ivar needed: holders each of which must acknowledge the run
+    :ivar count: minimum number of acknowledgements
+    :ivar since: Unix time; a holder that started later does not count, since
         it does not know what its predecessor acknowledged
     """
 
@@ -49,17 +49,17 @@
     since: float
 
     def is_met(self, acknowledged: dict[VmId, Incarnation]) -> bool:
-        """Tell whether enough holders that are old enough acknowledged."""
-        old = {
+        """Return whether enough holders that are old enough acknowledged."""
+        counted = {
             name
             for name, incarnation in acknowledged.items()
-            if incarnation / _MICROSECONDS <= self.since
+            if incarnation / _MICROSECONDS_PER_SECOND <= self.since
         }
-        return len(old) >= self.count and self.needed <= old
+        return len(counted) >= self.count and self.needed <= counted
 
 
 class Holders:
-    """Finds and asks the holders of keys."""
+    """Chooses the holders of keys and sends them requests."""
 
     def __init__(
         self,
@@ -67,39 +67,44 @@
         peers: PeerPool,
         settings: ClaimSettings,
     ) -> None:
-        """Ask over ``peers``."""
+        """Send requests over ``peers``."""
         self._members = members
         self._peers = peers
         self._settings = settings
-        self._lists: list[tuple[float, list[VmId]]] = []
+        self._published_lists: list[tuple[float, list[VmId]]] = []
 
     def note_list(self, published: VmList) -> None:
-        """Remember a published list for as long as keys made under it live."""
-        moment = clock.wall()
-        horizon = moment - self._settings.key_seconds
+        """Keep a published list until keys made under it have expired."""
+        now = clock.wall()
+        horizon = now - self._settings.key_seconds
         horizon -= self._settings.skew_seconds
         horizon -= self._settings.list_lag_seconds
         names = [vm.id for vm in published.vms]
-        self._lists.append((moment, names))
-        while len(self._lists) > 1 and self._lists[1][0] <= horizon:
-            self._lists.pop(0)
+        self._published_lists.append((now, names))
+        while (
+            len(self._published_lists) > 1
+            and self._published_lists[1][0] <= horizon
+        ):
+            self._published_lists.pop(0)
 
     def of_key(self, key: str) -> list[VmId]:
-        """Give the holders of a caller's own key, in the order to ask.
+        """Return the holders of a caller's own key, in the order to ask.
 
-        They come from the published list and not from who looks live: in
-        two parts of a split fleet the live VMs differ, the list does not.
+        They are chosen from the published list and not from the VMs that are
+        present: on the two sides of a partition the present VMs differ, but
+        the list is the same.
         """
         names = list(self._members.by_id)
-        return _holders(key, names)
+        return _choose_holders(key, names)
 
     def quorum(self, key: str, made_at: float) -> Quorum:
-        """Give whose acknowledgements a run under a caller's own key needs.
+        """Return the acknowledgements that a run under a caller's key needs.
 
-        A majority of the holders, so that any two runs ask a holder in
-        common. If the list has changed around the key's making, an earlier
-        run may have had a majority of other holders; then every holder that
-        both have in common is needed, and two are too few.
+        A majority of the holders, so that any two runs ask a common holder.
+        If the list has changed since shortly before the key was made, an
+        earlier run may have had a majority of other holders. Then every
+        holder common to all these lists is needed. If these are fewer than a
+        majority, the quorum cannot be met.
 
         :param made_at: Unix time at which the key was made
         """
@@ -117,37 +122,40 @@
             return Quorum(names, set(names), len(names) + 1, since)
         return Quorum(names, common, majority, since)
 
-    def _holders_since(self, key: str, moment: float) -> list[set[VmId]]:
-        starts = [at for at, _names in self._lists]
+    def _holders_since(self, key: str, since: float) -> list[set[VmId]]:
+        starts = [started_at for started_at, _names in self._published_lists]
         found = []
-        for index, (_at, names) in enumerate(self._lists):
+        for index, (_started_at, names) in enumerate(self._published_lists):
             ended_at = starts[index + 1] if index + 1 < len(starts) else None
-            if ended_at is None or ended_at >= moment:
-                found.append(set(_holders(key, names)))
+            if ended_at is None or ended_at >= since:
+                found.append(set(_choose_holders(key, names)))
         return found
 
     def witness_for(self, own: Member) -> Member | None:
-        """Choose who shall witness our next permit.
+        """Choose the witness of the next permit of this VM.
 
-        A VM of another failure domain, so that one switch cannot take both.
+        A VM of another failure domain is preferred, so that the failure of
+        one switch cannot disconnect both.
         """
         candidates = [
             member
             for member in self._members.present()
             if member.vm.id != own.vm.id and member.incarnation
         ]
-        away = [
+        in_other_domains = [
             member
             for member in candidates
             if member.vm.failure_domain != own.vm.failure_domain
         ]
-        chosen = away or candidates
-        if not chosen:
+        preferred = in_other_domains or candidates
+        if not preferred:
             return None
-        latest = max(member.heard_at for member in chosen)
-        fresh = [member for member in chosen if member.heard_at > latest - 5]
-        spread = f'{own.vm.id}:{int(clock.wall())}'
-        name = hashing.heaviest(spread, [member.vm.id for member in fresh])
+        latest = max(member.heard_at for member in preferred)
+        recent = [
+            member for member in preferred if member.heard_at > latest - 5
+        ]
+        spread_key = f'{own.vm.id}:{int(clock.wall())}'
+        name = hashing.heaviest(spread_key, [member.vm.id for member in recent])
         return self._members.by_id.get(name) if name else None
 
     async def ask(
@@ -155,13 +163,13 @@
         vm: VmId,
         message: Any,
     ) -> HolderReply:
-        """Ask one holder."""
+        """Send a request to one holder."""
         member = self._members.by_id.get(vm)
         if member is None:
             return HolderReply()
         seconds = self._settings.acknowledge_seconds
         try:
-            answered, reply = await self._peers.ask(
+            incarnation, reply = await self._peers.ask(
                 member.vm.peer_address,
                 vm,
                 message,
@@ -169,8 +177,8 @@
             )
         except (PeerUnreachable, ConnectionLost, WrongPeer):
             return HolderReply()
-        return HolderReply(reply, answered)
+        return HolderReply(reply, incarnation)
 
 
-def _holders(key: str, names: list[VmId]) -> list[VmId]:
+def _choose_holders(key: str, names: list[VmId]) -> list[VmId]:
     return hashing.rank(key, names)[:HOLDERS_PER_KEY]  # type: ignore[return-value]
--- a/flamingovalve/claims/permit.py
+++ b/flamingovalve/claims/permit.py
@@ -1,4 +1,4 @@
-"""Permits: keys that only one process can ever run."""
+"""Permits: keys whose calls only one process can run."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 
 PREFIX: Final = 'permit.'
 _SEPARATOR: Final = '|'
-_FIELDS: Final = 7
+_FIELD_COUNT: Final = 7
 _NONCE_BYTES: Final = 9
 _KEY_BYTES: Final = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """One permit, as its text names it.
+    """The content of a permit.
 
-    :ivar scope: application, service and call that it is good for
-    :ivar executor: the VM whose process made it and alone can run it
+    :ivar scope: application, service and call that it is valid for
+    :ivar executor: the VM of the only process that can run its call
+    :ivar executor_incarnation: that process, which made the permit
     :ivar witness: the VM that must acknowledge the run; empty for none
     :ivar expires_at: Unix time after which it is refused
     """
@@ -44,7 +45,7 @@
     nonce: str
 
     def signed_part(self) -> str:
-        """Give the text that the authentication code covers."""
+        """Return the text that the authentication code covers."""
         return _SEPARATOR.join(
             (
                 self.scope,
@@ -61,9 +62,9 @@
 class PermitMaker:
     """Makes and checks the permits of this process.
 
-    The key lives in the memory of this process only. A replaced process
-    has another key, so a permit of the old one is void there and the old
-    one's memory is never needed to refuse it.
+    The signing key exists only in the memory of this process. A process that
+    replaces it has another key and rejects the permits of this one without
+    having to know them.
     """
 
     def __init__(self, vm: VmId, incarnation: Incarnation) -> None:
@@ -78,7 +79,7 @@
         witness: tuple[VmId, Incarnation],
         seconds: float,
     ) -> str:
-        """Give the text of a new permit, good for ``seconds``."""
+        """Return the text of a new permit that is valid for ``seconds``."""
         permit = Permit(
             scope,
             self._vm,
@@ -92,8 +93,8 @@
         return PREFIX + base64.urlsafe_b64encode(sealed).decode('ascii')
 
     def is_ours(self, text: str) -> bool:
-        """Tell whether this process made the permit."""
-        code, signed = _split(text)
+        """Return whether this process made the permit."""
+        code, signed = _split_code(text)
         return hmac.compare_digest(
             code,
             authentication_code(self._key, signed),
@@ -101,18 +102,18 @@
 
 
 def parse_permit(text: str) -> Result[Permit, ServingError]:
-    """Read the text of a permit, without checking its code."""
+    """Parse a permit without checking its authentication code."""
     try:
-        _code, signed = _split(text)
+        _code, signed = _split_code(text)
         fields = signed.decode().split(_SEPARATOR)
     except ValueError:
-        return Error(_bad_permit())
-    if len(fields) != _FIELDS:
-        return Error(_bad_permit())
+        return Error(_malformed_permit())
+    if len(fields) != _FIELD_COUNT:
+        return Error(_malformed_permit())
     try:
         numbers = [int(fields[index]) for index in (2, 4, 5)]
     except ValueError:
-        return Error(_bad_permit())
+        return Error(_malformed_permit())
     return Ok(
         Permit(
             fields[0],
@@ -127,17 +128,17 @@
 
 
 def is_permit(text: str) -> bool:
-    """Tell whether an idempotency key is a permit."""
+    """Return whether an idempotency key is a permit."""
     return text.startswith(PREFIX)
 
 
-def _split(text: str) -> tuple[bytes, bytes]:
+def _split_code(text: str) -> tuple[bytes, bytes]:
     encoded = text.removeprefix(PREFIX).encode('ascii')
     sealed = base64.b64decode(encoded, b'-_', validate=True)
     return sealed[:CODE_BYTES], sealed[CODE_BYTES:]
 
 
-def _bad_permit() -> ServingError:
+def _malformed_permit() -> ServingError:
     return ServingError(
         ErrorKind.CLAIM_NEEDED,
         'the permit is damaged; ask /v1/entry for a new one',
--- a/flamingovalve/claims/refusals.py
+++ b/flamingovalve/claims/refusals.py
@@ -1,4 +1,4 @@
-"""What callers are told when a non-idempotent call gets no answer."""
+"""Errors of non-idempotent calls that cannot be answered."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def claim_needed() -> ServingError:
-    """Give the error of a call that must not run twice and has no key."""
+    """Return the error of a non-idempotent call without a key."""
     return ServingError(
         ErrorKind.CLAIM_NEEDED,
         'this call must not run twice: send the permit that /v1/entry gives '
@@ -15,7 +15,7 @@
 
 
 def key_without_time() -> ServingError:
-    """Give the error of a key that does not tell its age."""
+    """Return the error of a key without a creation time."""
     return ServingError(
         ErrorKind.CLAIM_NEEDED,
         'the idempotency key does not tell when it was made: use a UUIDv7, '
@@ -24,7 +24,7 @@
 
 
 def clock_ahead() -> ServingError:
-    """Give the error of a key from the future."""
+    """Return the error of a key whose creation time is in the future."""
     return ServingError(
         ErrorKind.CLAIM_NEEDED,
         'the idempotency key was made in the future; set the clock of the '
@@ -33,7 +33,7 @@
 
 
 def forged_permit() -> ServingError:
-    """Give the error of a permit that its executor did not make."""
+    """Return the error of a permit that this executor did not make."""
     return ServingError(
         ErrorKind.CLAIM_NEEDED,
         'this VM did not make the permit; ask /v1/entry for a new one',
@@ -41,7 +41,7 @@
 
 
 def key_reused() -> ServingError:
-    """Give the error of a key that was used for another body."""
+    """Return the error of a key that was used with another body."""
     return ServingError(
         ErrorKind.CLAIM_REUSED,
         'the key was used for another body, and this one was not run; use '
@@ -50,7 +50,7 @@
 
 
 def key_too_old(seconds: float) -> ServingError:
-    """Give the error of a key whose record may be gone."""
+    """Return the error of a key whose record may have expired."""
     return ServingError(
         ErrorKind.CLAIM_EXPIRED,
         f'the key is older than {seconds:g} s, and what became of it is no '
@@ -60,7 +60,7 @@
 
 
 def expired(ran: Ran) -> ServingError:
-    """Give the error of a permit past its time."""
+    """Return the error of an expired permit."""
     return ServingError(
         ErrorKind.CLAIM_EXPIRED,
         'the permit has expired; ask /v1/entry for a new one',
@@ -69,7 +69,7 @@
 
 
 def holders_silent() -> ServingError:
-    """Give the error of a call that silent holders block."""
+    """Return the error of a call for which too few holders answer."""
     return ServingError(
         ErrorKind.CLAIM_BLOCKED,
         'VMs that remember this key do not answer, so the call was not run '
@@ -79,7 +79,7 @@
 
 
 def table_full() -> ServingError:
-    """Give the error of a call for which there is no room."""
+    """Return the error of a call that a full table cannot record."""
     return ServingError(
         ErrorKind.OVERLOADED,
         'this VM holds too many records of calls; the call was not run; ask '
@@ -89,7 +89,7 @@
 
 
 def leaving() -> ServingError:
-    """Give the error of a call whose executor is leaving."""
+    """Return the error of a call whose executor is leaving."""
     return ServingError(
         ErrorKind.LEAVING,
         'the VM that would run this call is leaving; it was not run and '
@@ -99,7 +99,7 @@
 
 
 def sealed() -> ServingError:
-    """Give the error of a call that can never run."""
+    """Return the error of a call whose key is sealed."""
     return ServingError(
         ErrorKind.CLAIM_SEALED,
         'the call was not run and never will be under this key; ask '
@@ -109,7 +109,7 @@
 
 
 def answer_not_kept() -> ServingError:
-    """Give the error of a call that ran and whose answer is gone."""
+    """Return the error of a call that ran and whose answer was dropped."""
     return ServingError(
         ErrorKind.ANSWER_NOT_KEPT,
         'the call ran, but its answer is no longer kept; read the outcome '
@@ -122,7 +122,7 @@
     reason: str,
     retry_after: float | None = None,
 ) -> ServingError:
-    """Give the error of a call that may have run."""
+    """Return the error of a call that may have run."""
     return ServingError(
         ErrorKind.OUTCOME_UNKNOWN,
         f'whether the call ran is unknown: {reason}; it will not run again '
--- a/flamingovalve/claims/runner.py
+++ b/flamingovalve/claims/runner.py
@@ -1,4 +1,4 @@
-"""Runs a claimed call: asks its holders, sends it, records the outcome."""
+"""Execution of a claimed call, from acknowledgements to the outcome."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass
 class ClaimCounts:
-    """How claims ended since this process started."""
+    """Counters of claims since the process started."""
 
     run: int = 0
     replayed: int = 0
@@ -42,9 +42,10 @@
 class Claim:
     """One non-idempotent request and the key that it runs under.
 
-    :ivar witnesses: for a permit, the processes whose acknowledgement a run
-        needs besides the executor's own
-    :ivar quorum: for a caller's own key, whose acknowledgements it needs
+    :ivar addresses: replicas of the service
+    :ivar witnesses: for a permit, the processes that must acknowledge a run
+        besides its executor
+    :ivar quorum: for a caller's own key, the acknowledgements that it needs
     """
 
     request: ServiceRequest
@@ -55,21 +56,21 @@
     quorum: Quorum | None = None
 
     def holder_names(self) -> list[VmId]:
-        """Give every VM that keeps a record of the key."""
+        """Return every VM that keeps a record of the key."""
         if self.quorum is not None:
             return self.quorum.names
         return [name for name, _incarnation in self.witnesses]
 
     def others(self, own_id: VmId) -> list[VmId]:
-        """Give the holders besides ourselves, in the order to ask."""
+        """Return the holders except this VM, in the order to ask."""
         return [name for name in self.holder_names() if name != own_id]
 
 
 class ClaimRunner:
-    """The executor's part: from a claim of our own to its outcome.
+    """Runs the claims of this process as their executor.
 
-    The first byte goes upstream only after every holder of the key has
-    acknowledged this process as the only one that may send it.
+    The first byte is sent upstream only after the holders that the claim
+    needs have acknowledged this process as the only one that may send it.
     """
 
     def __init__(
@@ -89,10 +90,10 @@
         self._relay = relay
 
     async def start(self, record: ClaimRecord, claim: Claim) -> None:
-        """Run a claim whose record is ours.
+        """Run a claim whose record names this process as its executor.
 
-        The run does not end when the caller hangs up: its outcome has to be
-        recorded for the resend that follows.
+        The run goes on when the caller disconnects, since its outcome has to
+        be recorded for a later resend.
         """
         await self.tasks.spawn(self._execute, record, claim)
 
@@ -120,8 +121,8 @@
             await self._refuse(record, claim)
             return
         if claim.request.remaining() <= 0:
-            # A process that was paused here wakes up late: the caller has
-            # been told something else by now.
+            # The deadline passed, as when this process was paused. The caller
+            # may have got another answer from another VM by now.
             await connection.close()
             await self._refuse(record, claim)
             return
@@ -136,7 +137,9 @@
         try:
             response = await self._relay.run_on(connection, claim.request)
         except (ConnectionLost, TimeoutError) as failed:
-            logger.warning('a claimed call has no outcome: {}', failed)
+            logger.warning(
+                'the outcome of a claimed call is unknown: {}', failed
+            )
             await self._settle(record, claim, ClaimState.UNKNOWN)
             return
         self.counts.run += 1
@@ -151,35 +154,36 @@
         state: ClaimState,
     ) -> None:
         await record.settle(state)
-        await self.tasks.spawn(self._tell_holders, record, claim)
+        await self.tasks.spawn(self._send_outcome, record, claim)
 
     async def _refuse(self, record: ClaimRecord, claim: Claim) -> None:
         """Settle a claim that was not run and must not run any more.
 
-        The caller is told "not run" only if the key is sealed where any run
-        would have to ask; otherwise that the outcome is unknown.
+        The answer is "not run" only if the key is sealed at enough holders
+        that no later run can be acknowledged; otherwise it is "unknown".
         """
         record.state = ClaimState.SEALED
         sealed = {self._own_id: self._incarnation}
-        told = self._told(record)
+        outcome = self._outcome_message(record)
         for name in claim.others(self._own_id):
-            answered = await self._holders.ask(name, told)
-            reply = answered.reply
+            holder_reply = await self._holders.ask(name, outcome)
+            reply = holder_reply.reply
             if reply is not None and reply.state is ClaimState.SEALED:
-                sealed[name] = answered.incarnation
-        final = claim.quorum is None or claim.quorum.is_met(sealed)
-        state = ClaimState.SEALED if final else ClaimState.UNKNOWN
+                sealed[name] = holder_reply.incarnation
+        is_final = claim.quorum is None or claim.quorum.is_met(sealed)
+        state = ClaimState.SEALED if is_final else ClaimState.UNKNOWN
         await record.settle(state)
 
-    async def _tell_holders(self, record: ClaimRecord, claim: Claim) -> None:
-        # The requests that wait for this answer have been woken before and
-        # read it whole; what is kept for resends is bounded.
+    async def _send_outcome(self, record: ClaimRecord, claim: Claim) -> None:
+        # The requests that wait for this answer were woken before this task
+        # starts, and get all of it. Only then may the bound on the answers
+        # kept for resends drop it.
         if record.state is ClaimState.FINISHED:
             self._table.count_answer(record)
         for name in claim.others(self._own_id):
-            await self._holders.ask(name, self._told(record))
+            await self._holders.ask(name, self._outcome_message(record))
 
-    def _told(self, record: ClaimRecord) -> ClaimTell:
+    def _outcome_message(self, record: ClaimRecord) -> ClaimTell:
         return ClaimTell(
             record.key,
             record.executor,
@@ -191,56 +195,60 @@
         )
 
     async def _collect(self, record: ClaimRecord, claim: Claim) -> bool:
-        """Get the acknowledgements that the run needs.
+        """Request the acknowledgements that the run needs.
 
         :returns: whether it may run; otherwise the record is settled
         """
         if claim.quorum is None:
-            return await self._collect_witness(record, claim)
-        return await self._collect_quorum(record, claim, claim.quorum)
+            return await self._collect_from_witnesses(record, claim)
+        return await self._collect_from_quorum(record, claim, claim.quorum)
 
-    async def _collect_witness(
+    async def _collect_from_witnesses(
         self,
         record: ClaimRecord,
         claim: Claim,
     ) -> bool:
         for name, incarnation in claim.witnesses:
-            answered = await self._ask(claim, name, incarnation)
-            reply = answered.reply
+            holder_reply = await self._ask_acknowledgement(
+                claim, name, incarnation
+            )
+            reply = holder_reply.reply
             if reply is None or not reply.acknowledged:
-                await self._give_way(record, claim, reply)
+                await self._handle_refusal(record, claim, reply)
                 return False
         return True
 
-    async def _collect_quorum(
+    async def _collect_from_quorum(
         self,
         record: ClaimRecord,
         claim: Claim,
         quorum: Quorum,
     ) -> bool:
-        """Ask the holders in the order that all executors keep.
+        """Ask the holders in the order that all executors use.
 
-        Two executors that race for one key meet at the first holder that
-        both reach, and only one of them is acknowledged there.
+        Of two executors that race for one key, only one is acknowledged at
+        the first holder that both reach.
         """
         acknowledged = {self._own_id: self._incarnation}
         for name in claim.others(self._own_id):
             if quorum.is_met(acknowledged):
                 return True
-            answered = await self._ask(claim, name, Incarnation(0))
-            if answered.reply is None:
+            holder_reply = await self._ask_acknowledgement(
+                claim, name, Incarnation(0)
+            )
+            if holder_reply.reply is None:
                 continue
-            if not answered.reply.acknowledged:
-                await self._give_way(record, claim, answered.reply)
+            if not holder_reply.reply.acknowledged:
+                await self._handle_refusal(record, claim, holder_reply.reply)
                 return False
-            acknowledged[name] = answered.incarnation
+            acknowledged[name] = holder_reply.incarnation
         if quorum.is_met(acknowledged):
             return True
         self.counts.blocked += 1
         await self._refuse(record, claim)
         return False
 
-    async def _ask(
+    async def _ask_acknowledgement(
         self,
         claim: Claim,
         name: VmId,
@@ -255,25 +263,27 @@
         )
         return await self._holders.ask(name, ask)
 
-    async def _give_way(
+    async def _handle_refusal(
         self,
         record: ClaimRecord,
         claim: Claim,
         reply: ClaimReply | None,
     ) -> None:
-        """Settle a claim that a holder does not acknowledge."""
+        """Handle the reply of a holder that does not acknowledge a claim."""
         if reply is None or reply.state is ClaimState.REFUSED:
             self.counts.blocked += 1
             await self._refuse(record, claim)
             return
-        await self._yield_to(record, reply)
+        await self._adopt_reply(record, reply)
 
-    async def _yield_to(self, record: ClaimRecord, reply: ClaimReply) -> None:
-        """Follow what a holder already knew of the key."""
-        record.follow(reply)
+    async def _adopt_reply(
+        self, record: ClaimRecord, reply: ClaimReply
+    ) -> None:
+        """Adopt the record that a holder already had of the key."""
+        record.copy_from(reply)
         if reply.state is ClaimState.CLAIMED:
-            # Not settled: another executor runs it, and the waiting request
-            # is passed on to that one.
+            # Another executor runs the call. The event only wakes the waiting
+            # requests, which are then forwarded to that executor.
             await record.settled.set()
             return
         await record.settle(reply.state)
--- a/flamingovalve/claims/table.py
+++ b/flamingovalve/claims/table.py
@@ -1,4 +1,4 @@
-"""What one holder remembers of non-idempotent requests."""
+"""The records of non-idempotent requests at one holder."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 if TYPE_CHECKING:
     from flamingovalve.generated.settings import ClaimSettings
 
-# Seals are small and make refusals truthful: they may still be recorded when
-# the table is too full for new claims.
-_SEAL_RESERVE = 1.25
+# Seals may still be recorded when the table is too full for new claims: they
+# are small, and a refusal is only true if the key is sealed.
+_SEAL_LIMIT_FACTOR = 1.25
 
-_SETTLED = frozenset(
+_SETTLED_STATES = frozenset(
     (
         ClaimState.FINISHED,
         ClaimState.SEALED,
@@ -38,9 +38,10 @@
 class ClaimRecord:
     """What a holder knows of one key.
 
-    :ivar executor: the VM that may send it upstream
-    :ivar incarnation: the process on that VM; no other may
-    :ivar body_digest: digest of the request that the key stands for
+    :ivar executor: the VM that may send the request upstream
+    :ivar incarnation: the only process of that VM that may do so
+    :ivar body_digest: digest of the body of the request; empty if unknown
+    :ivar made_at: when the record was made
     :ivar settled: set once the outcome is known
     """
 
@@ -56,50 +57,53 @@
     settled: curio.Event = field(default_factory=curio.Event)
 
     async def settle(self, state: ClaimState) -> None:
-        """Give the record its outcome."""
+        """Record the outcome."""
         self.state = state
         await self.settled.set()
 
     def keep(self, status: int, content_type: str, answer: bytes) -> None:
-        """Record the whole answer."""
+        """Record the answer of the upstream."""
         self.status = status
         self.content_type = content_type
         self.answer = answer
 
-    def follow(self, reply: ClaimReply) -> None:
-        """Take over what another holder knows of the key."""
+    def copy_from(self, reply: ClaimReply) -> None:
+        """Copy what another holder knows of the key."""
         self.executor = reply.executor
         self.incarnation = reply.incarnation
         self.keep(reply.status, reply.content_type, reply.answer)
 
     def drop_answer(self) -> int:
-        """Forget the answer but not that the call ran; give the bytes freed."""
-        freed = len(self.answer)
+        """Drop the answer, but not that the call ran; return its size."""
+        freed_bytes = len(self.answer)
         self.keep(0, '', b'')
-        return freed
+        return freed_bytes
 
 
 class ClaimTable:
     """The records of one VM, bounded in number and in age.
 
-    A record that were dropped early would let its request run a second
-    time. When the table is full of young records, new claims are refused
+    If a record were dropped early, its request could run a second time. When
+    the table is full of records that have not expired, new claims are refused
     instead: a refusal is visible and harmless, a double payment is not.
+
+    :ivar refused_full: number of records refused because the table was full
+    :ivar kept_bytes: size of the recorded answers
     """
 
     def __init__(self, settings: ClaimSettings) -> None:
-        """Start without records."""
+        """Start with an empty table."""
         self.refused_full = 0
         self.kept_bytes = 0
         self._settings = settings
         self._records: OrderedDict[ClaimKey, ClaimRecord] = OrderedDict()
 
     def __len__(self) -> int:
-        """Count the records."""
+        """Return the number of records."""
         return len(self._records)
 
     def find(self, key: ClaimKey) -> ClaimRecord | None:
-        """Give the record of ``key``, if there is one."""
+        """Return the record of ``key``, if there is one."""
         self._expire()
         return self._records.get(key)
 
@@ -110,14 +114,15 @@
         owner: tuple[VmId, Incarnation],
         body_digest: bytes,
     ) -> ClaimRecord | None:
-        """Remember a new key, unless the table is full.
+        """Add a record of a new key, unless the table is full.
 
         :param owner: VM and incarnation of the executor
+        :returns: the record; None if the table is full
         """
         self._expire()
         limit: float = self._settings.records
         if state is ClaimState.SEALED:
-            limit *= _SEAL_RESERVE
+            limit *= _SEAL_LIMIT_FACTOR
         if len(self._records) >= limit:
             self.refused_full += 1
             return None
@@ -126,7 +131,7 @@
         return record
 
     def counts_by_state(self) -> dict[str, int]:
-        """Count the records of each state."""
+        """Return the number of records in each state."""
         counts: dict[str, int] = {}
         for record in self._records.values():
             label = record.state.value
@@ -134,27 +139,28 @@
         return counts
 
     def count_answer(self, record: ClaimRecord) -> None:
-        """Take a recorded answer into account; drop the oldest beyond it."""
+        """Count a recorded answer, and drop the oldest ones beyond the limit."""
         if len(record.answer) > self._settings.answer_bytes:
             record.drop_answer()
         self.kept_bytes += len(record.answer)
-        for old in list(self._records.values()):
+        for oldest in list(self._records.values()):
             if self.kept_bytes <= self._settings.kept_bytes:
                 return
-            if old.answer:
-                self.kept_bytes -= old.drop_answer()
+            if oldest.answer:
+                self.kept_bytes -= oldest.drop_answer()
 
     def acknowledge(self, ask: ClaimAsk, own: Incarnation) -> ClaimReply:
-        """Answer an executor that wants to run a key.
+        """Acknowledge an executor that wants to run the call of a key.
 
-        Acknowledged once, to one executor incarnation. Asked again by the
-        same one, the answer is the same: its first reply may be lost.
+        A key is acknowledged to one incarnation of one executor. A repeated
+        request of that one gets the same reply, since the first reply may
+        have been lost.
 
         :param own: incarnation of this process
         """
         if ask.holder not in {0, own}:
-            # Meant for the process that ran here before. What it knew is
-            # gone, so this one cannot vouch that the key is new.
+            # The request is for a previous process of this VM. Its records
+            # are lost, so this process cannot know whether the key is new.
             return ClaimReply(ClaimState.REFUSED)
         record = self.find(ask.key)
         owner = (ask.executor, ask.incarnation)
@@ -167,30 +173,30 @@
             )
             if record is None:
                 return ClaimReply(ClaimState.REFUSED)
-        same_owner = (record.executor, record.incarnation) == owner
-        free = record.state is ClaimState.CLAIMED and same_owner
+        is_same_owner = (record.executor, record.incarnation) == owner
+        may_run = record.state is ClaimState.CLAIMED and is_same_owner
         reply = reply_of(record, ask.body_digest)
-        reply.acknowledged = free and reply.same_body
+        reply.acknowledged = may_run and reply.same_body
         return reply
 
-    async def tell(self, told: ClaimTell) -> ClaimReply:
-        """Take the outcome that an executor tells of its own claim."""
-        record = self.find(told.key)
+    async def tell(self, outcome: ClaimTell) -> ClaimReply:
+        """Record the outcome that an executor reports of its own claim."""
+        record = self.find(outcome.key)
         if record is None:
-            teller = (told.executor, told.incarnation)
-            record = self.add(told.key, ClaimState.CLAIMED, teller, b'')
+            sender = (outcome.executor, outcome.incarnation)
+            record = self.add(outcome.key, ClaimState.CLAIMED, sender, b'')
             if record is None:
                 return ClaimReply(ClaimState.REFUSED)
         owner = (record.executor, record.incarnation)
-        teller = (told.executor, told.incarnation)
-        if record.state not in _SETTLED and owner == teller:
-            record.keep(told.status, told.content_type, told.answer)
-            await record.settle(told.state)
+        sender = (outcome.executor, outcome.incarnation)
+        if record.state not in _SETTLED_STATES and owner == sender:
+            record.keep(outcome.status, outcome.content_type, outcome.answer)
+            await record.settle(outcome.state)
             self.count_answer(record)
         return reply_of(record, record.body_digest)
 
     async def seal(self, ask: SealAsk, own: Incarnation) -> ClaimReply:
-        """See to it that a key never runs, unless it was claimed.
+        """Ensure that the call of a key never runs, unless it was claimed.
 
         :param own: incarnation of this process
         """
@@ -198,11 +204,11 @@
             return ClaimReply(ClaimState.REFUSED)
         record = self.find(ask.key)
         if record is None:
-            nobody = (VmId(''), Incarnation(0))
+            no_executor = (VmId(''), Incarnation(0))
             record = self.add(
                 ask.key,
                 ClaimState.SEALED,
-                nobody,
+                no_executor,
                 ask.body_digest,
             )
             if record is None:
@@ -211,18 +217,18 @@
         return reply_of(record, ask.body_digest)
 
     def _expire(self) -> None:
-        oldest = clock.now() - self._settings.record_seconds
+        cutoff = clock.now() - self._settings.record_seconds
         while self._records:
             record = next(iter(self._records.values()))
-            if record.made_at > oldest:
+            if record.made_at > cutoff:
                 return
             self._records.popitem(last=False)
             self.kept_bytes -= len(record.answer)
 
 
 def reply_of(record: ClaimRecord, body_digest: bytes) -> ClaimReply:
-    """Give what a record says, for the request of ``body_digest``."""
-    known = record.body_digest
+    """Return the reply of a record to a request with ``body_digest``."""
+    recorded = record.body_digest
     return ClaimReply(
         record.state,
         False,
@@ -231,5 +237,5 @@
         record.status,
         record.content_type,
         record.answer,
-        not known or not body_digest or known == body_digest,
+        not recorded or not body_digest or recorded == body_digest,
     )
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""A payment runs at most once, and "not run" is only said when it is true."""
+"""A payment runs at most once, and "not run" is answered only if true."""
 
 from __future__ import annotations
 
@@ -25,52 +25,52 @@
 
 
 class ClaimTest(unittest.TestCase):
-    """Calls that must not run twice."""
+    """A fleet and helpers for calls that must not run twice."""
 
     shape = Shape(vms=5, engines=1)
 
     def setUp(self):
-        """Start a fleet that has run for a while."""
+        """Start a fleet and let it run for 20 seconds."""
         self.fleet = Fleet.started(self.shape)
         self.addCleanup(self.fleet.close)
         self.fleet.world.advance(20)
         self.service = self.fleet.services_by_id['orders']
 
     def runs(self):
-        """Give how often the order ran, whatever its key."""
+        """Return how often the order ran, under any key."""
         return self.service.runs_by_order['one']
 
     def permit(self):
-        """Get a permit; give it, its executor and its witness."""
+        """Return a new permit, its executor and its witness."""
         text = self.fleet.permit('vm-0')
         parsed = parse_permit(text).ok
         return text, parsed.executor, parsed.witness
 
-    def bystander(self, *taken):
-        """Give a running VM that is none of those."""
+    def other_vm(self, *excluded):
+        """Return a running VM other than those."""
         return next(
             vm.id
             for vm in self.fleet.vms_by_id.values()
-            if vm.id not in taken and vm.node is not None
+            if vm.id not in excluded and vm.node is not None
         )
 
     def start_pay(self, vm_id, key, seconds=60):
-        """Send a payment and do not wait."""
+        """Send a payment without waiting for the response."""
         address = self.fleet.vms_by_id[vm_id].http_address
         return self.fleet.caller.start(address, pay_call(key), seconds)
 
     def own_key(self):
-        """Make a key as a caller does."""
+        """Return a new key as a caller makes it."""
         return uuid7(self.fleet.world.wall())
 
     def holders(self, key):
-        """Give the holders of a caller's own key, in order."""
+        """Return the holders of a caller's own key, in the order to ask."""
         daemon = self.fleet.daemons()[0]
         return daemon.holders.of_key(f'own:studio/orders/pay:{key}')
 
 
 class HealthyClaimTest(ClaimTest):
-    """Nothing fails; callers resend."""
+    """Callers resend calls, and nothing else fails."""
 
     def test_needs_a_key(self):
         response = self.fleet.pay('vm-0', '')
@@ -89,15 +89,15 @@
 
     def test_witness_is_in_another_domain(self):
         _text, executor, witness = self.permit()
-        domains = self.fleet.vms_by_id
-        self.assertNotEqual(domains[executor].domain, domains[witness].domain)
+        vms = self.fleet.vms_by_id
+        self.assertNotEqual(vms[executor].domain, vms[witness].domain)
 
     def test_resend_while_the_first_runs_waits_for_it(self):
         self.service.run_seconds = 3
         text, executor, witness = self.permit()
         first = self.start_pay(executor, text)
         self.fleet.world.advance(1)
-        second = self.start_pay(self.bystander(executor, witness), text)
+        second = self.start_pay(self.other_vm(executor, witness), text)
         self.fleet.world.run_until(
             lambda: first.terminated and second.terminated,
         )
@@ -134,7 +134,7 @@
             self.assertEqual(statuses, {OK})
             self.assertEqual(self.service.runs_by_key[key], 1)
 
-    def test_key_must_tell_its_age(self):
+    def test_key_must_contain_its_time(self):
         response = self.fleet.pay('vm-1', 'order-17')
         self.assertEqual(response.status, 428)
         self.assertEqual(ran(response), 'no')
@@ -166,7 +166,7 @@
         self.assertEqual(ran(response), 'yes')
         self.assertEqual(self.runs(), 1)
 
-    def test_full_table_refuses_and_never_forgets(self):
+    def test_full_table_refuses_new_calls_and_keeps_records(self):
         for daemon in self.fleet.daemons():
             daemon.settings.claims.records = 2
         first = self.permit()[0]
@@ -178,20 +178,20 @@
 
 
 class TableTest(unittest.TestCase):
-    """What a holder believes, and whom."""
+    """What a holder records and acknowledges."""
 
     def test_only_its_executor_settles_a_claim(self):
-        """Two VMs raced; the loser tells its outcome to everybody.
+        """Two VMs race for a key, and the loser sends its outcome to a holder.
 
-        The winner's claim must stay open, or its payment would be called
-        "not run" while it runs. (Found by the fuzzer.)
+        The winner's claim must stay open. Otherwise its payment is answered
+        with "not run" while it runs. (Found by the fuzzer.)
         """
         table = ClaimTable(ClaimSettings())
         ask = ClaimAsk('key', 'vm-1', 1, 0, b'digest')
         self.assertTrue(table.acknowledge(ask, 9).acknowledged)
-        told = ClaimTell('key', 'vm-2', 2, ClaimState.SEALED)
+        outcome = ClaimTell('key', 'vm-2', 2, ClaimState.SEALED)
         with curio.Kernel() as kernel:
-            reply = kernel.run(table.tell, told)
+            reply = kernel.run(table.tell, outcome)
         self.assertIs(reply.state, ClaimState.CLAIMED)
         self.assertIs(table.find('key').state, ClaimState.CLAIMED)
 
@@ -205,13 +205,13 @@
 
 
 class LostClaimTest(ClaimTest):
-    """Processes and connections fail at every point of a run."""
+    """Processes and connections fail at different points of a run."""
 
     def test_upstream_refuses_the_connection(self):
         """The service is down before anything is sent to it.
 
-        The caller is told that the payment was not run, and that is final
-        for this permit; with a new one it goes through.
+        The answer is "not run", for good under this permit. The payment would
+        need a new one.
         """
         self.fleet.world.kill(self.fleet.node_named('orders'))
         text, _executor, witness = self.permit()
@@ -222,8 +222,8 @@
     def test_connection_breaks_before_the_run(self):
         """The service drops the connection after the request was written.
 
-        Nobody can tell whether it ran, so the caller is told just that,
-        and a resend does not run it either.
+        Whether it ran is unknown, so the answer is "unknown", and a resend
+        does not run it either.
         """
         self.service.drop_before_run = 1
         text, _executor, _witness = self.permit()
@@ -233,9 +233,9 @@
         self.assertEqual(self.runs(), 0)
 
     def test_answer_is_lost_after_the_run(self):
-        """The service runs the payment and the answer is lost on the way.
+        """The service runs the payment, and its response is lost.
 
-        The caller is told that it may have run; no resend runs it again.
+        The answer is "unknown", and no resend runs the payment again.
         """
         for key in (self.permit()[0], self.own_key()):
             self.service.drop_after_run = 1
@@ -245,14 +245,14 @@
             self.assertEqual(self.service.runs_by_key[key], 1)
 
     def test_executor_dies_before_the_claim(self):
-        """The VM that gave the permit dies before the payment is sent.
+        """The VM that made the permit dies before the payment is sent.
 
-        The witness has no record, seals the permit and so makes "not run"
-        true; a new permit works.
+        The witness has no record and seals the permit, so that "not run" is
+        true. The payment runs with a new permit.
         """
         text, executor, witness = self.permit()
         self.fleet.kill(executor)
-        other = self.bystander(executor, witness)
+        other = self.other_vm(executor, witness)
         response = self.fleet.pay(other, text)
         self.assertEqual(error_type(response), 'claim_sealed')
         self.assertEqual(ran(response), 'no')
@@ -263,38 +263,39 @@
     def test_executor_dies_while_the_call_runs(self):
         """The executor dies after it sent the payment upstream.
 
-        The witness knows of the claim and not of the outcome: unknown.
+        The witness knows the claim but not the outcome, so the answer is
+        "unknown".
         """
         self.service.run_seconds = 3
         text, executor, witness = self.permit()
         first = self.start_pay(executor, text)
         self.fleet.world.advance(1)
         self.fleet.kill(executor)
-        response = self.fleet.pay(self.bystander(executor, witness), text)
+        response = self.fleet.pay(self.other_vm(executor, witness), text)
         self.assertEqual(ran(response), 'unknown')
         self.fleet.world.advance(10)
         self.assertTrue(first.terminated)
         self.assertEqual(self.runs(), 1)
 
     def test_executor_dies_after_the_answer(self):
-        """The executor dies once it has told the witness how it ended.
+        """The executor dies after it sent the outcome to the witness.
 
-        The caller, whose answer was lost, gets it from the witness.
+        A caller that lost the answer gets it from the witness.
         """
         text, executor, witness = self.permit()
         answer = self.fleet.pay(executor, text)
         self.fleet.world.advance(1)
         self.fleet.kill(executor)
-        again = self.fleet.pay(self.bystander(executor, witness), text)
+        again = self.fleet.pay(self.other_vm(executor, witness), text)
         self.assertEqual(again.status, OK)
         self.assertEqual(again.body, answer.body)
         self.assertEqual(self.runs(), 1)
 
     def test_executor_is_replaced_at_the_same_address(self):
-        """A new process runs where the executor ran, and knows nothing.
+        """A new process without records runs at the executor's address.
 
-        It must neither run the payment nor say anything but what the
-        witness knows.
+        It must not run the payment, and must answer only what the witness
+        recorded.
         """
         text, executor, _witness = self.permit()
         self.assertEqual(self.fleet.pay(executor, text).status, OK)
@@ -308,7 +309,10 @@
         self.assertEqual(self.runs(), 1)
 
     def test_executor_and_witness_are_replaced(self):
-        """Both that knew of the payment are gone: unknown, never again."""
+        """Both processes that recorded the payment are replaced.
+
+        The answer is "unknown", and the payment does not run again.
+        """
         text, executor, witness = self.permit()
         self.assertEqual(self.fleet.pay(executor, text).status, OK)
         for vm_id in (executor, witness):
@@ -321,11 +325,11 @@
             self.assertEqual(ran(response), 'unknown')
         self.assertEqual(self.runs(), 1)
 
-    def test_paused_executor_wakes_late(self):
-        """The executor stops for a minute right after it was acknowledged.
+    def test_executor_is_paused_before_the_run(self):
+        """The executor is paused for a minute around its acknowledgement.
 
-        Meanwhile the caller asks elsewhere. If it was told "not run" then,
-        the payment must not run when the executor wakes.
+        During the pause the caller resends to another VM. If the answer is
+        "not run", the payment must not run when the executor wakes.
         """
         for pause_after in (0.0, 0.0005, 0.001, 0.005, 0.02):
             order = f'order {pause_after}'
@@ -335,7 +339,7 @@
             self.fleet.world.advance(pause_after)
             self.fleet.pause(executor)
             self.fleet.world.advance(5)
-            other = self.bystander(executor, witness)
+            other = self.other_vm(executor, witness)
             response = self.fleet.pay(other, text, order)
             self.fleet.world.advance(60)
             self.fleet.wake(executor)
@@ -348,8 +352,9 @@
     def test_partition_between_executor_and_witness(self):
         """Executor and witness cannot reach each other.
 
-        Without the witness the executor must not run; it says so and the
-        permit is used up. What the witness says stays in line with that.
+        Without the acknowledgement of the witness the executor must not run
+        the payment. It answers "not run", and the permit stays sealed: later
+        answers of all VMs agree, including that of the witness.
         """
         text, executor, witness = self.permit()
         self.fleet.links.partition([executor], [witness])
@@ -361,11 +366,11 @@
             self.assertEqual(ran(self.fleet.pay(vm_id, text)), 'no')
         self.assertEqual(self.runs(), 0)
 
-    def test_executor_is_cut_off_from_everyone(self):
-        """The executor runs the payment but no other VM reaches it.
+    def test_partition_between_executor_and_all_others(self):
+        """The executor runs the payment while no other VM can reach it.
 
-        A resend elsewhere finds the claim at the witness: unknown, and no
-        second run.
+        A resend to another VM finds the claim at the witness. The answer is
+        "unknown", and there is no second run.
         """
         self.service.run_seconds = 2
         text, executor, witness = self.permit()
@@ -373,35 +378,35 @@
         self.fleet.world.advance(0.5)
         others = [vm_id for vm_id in self.fleet.vms_by_id if vm_id != executor]
         self.fleet.links.partition([executor], others)
-        response = self.fleet.pay(self.bystander(executor, witness), text)
+        response = self.fleet.pay(self.other_vm(executor, witness), text)
         self.assertEqual(ran(response), 'unknown')
         self.fleet.world.run_until(lambda: first.terminated)
         self.assertEqual(outcome_of(first).status, OK)
         self.assertEqual(self.runs(), 1)
 
     def test_one_silent_holder_does_not_block(self):
-        """One of the VMs that remember a caller's own key is frozen.
+        """One of three holders of a caller's own key is paused.
 
-        The other two are a majority, so the payment runs; once the frozen
-        one wakes, it runs it no second time.
+        The other two are a majority, so the payment runs. After the paused
+        holder wakes, resends do not run the payment again.
         """
-        for place in range(3):
+        for index in range(3):
             key = self.own_key()
             holders = self.holders(key)
-            self.fleet.pause(holders[place])
-            sender = holders[(place + 1) % 3]
+            self.fleet.pause(holders[index])
+            sender = holders[(index + 1) % 3]
             self.assertEqual(self.fleet.pay(sender, key).status, OK)
-            self.fleet.wake(holders[place])
+            self.fleet.wake(holders[index])
             self.fleet.world.advance(20)
             for vm_id in self.fleet.vms_by_id:
                 self.assertEqual(self.fleet.pay(vm_id, key).status, OK)
             self.assertEqual(self.service.runs_by_key[key], 1)
 
     def test_two_silent_holders_block(self):
-        """Two of the VMs that remember a caller's own key are frozen.
+        """Two of three holders of a caller's own key are paused.
 
-        They might know of an earlier run. The call is not run, but that it
-        never will be cannot be promised either: unknown.
+        They may have a record of an earlier run, so the call is not run. It
+        cannot be sealed without them either, so the answer is "unknown".
         """
         key = self.own_key()
         holders = self.holders(key)
@@ -414,53 +419,53 @@
         self.fleet.world.advance(20)
         self.assertLessEqual(self.service.runs_by_key[key], 1)
 
-    def test_seal_outlives_the_vm_that_made_it(self):
-        """A key is sealed while a holder is frozen; then a sealing VM leaves.
+    def test_seal_survives_a_sealing_holder(self):
+        """A key is sealed while a holder is paused; then a sealing VM dies.
 
-        The frozen one wakes with the payment still in its hands. Were the
-        seal at the VM that left only, it would be run although its caller
-        was told "not run". (Found by the fuzzer.)
+        The paused holder still has the payment when it wakes. If only the VM
+        that died had sealed the key, the payment would run although the
+        answer was "not run". (Found by the fuzzer.)
         """
-        for place in range(3):
+        for index in range(3):
             key = self.own_key()
             holders = self.holders(key)
-            self.fleet.pause(holders[place])
-            self.start_pay(holders[place], key)
+            self.fleet.pause(holders[index])
+            self.start_pay(holders[index], key)
             self.fleet.world.advance(1)
-            left = [vm for vm in holders if vm != holders[place]]
+            running = [vm for vm in holders if vm != holders[index]]
             self.fleet.world.kill(self.fleet.node_named('orders'))
-            told = [ran(self.fleet.pay(vm_id, key)) for vm_id in left]
-            self.fleet.kill(left[0])
+            answers = [ran(self.fleet.pay(vm_id, key)) for vm_id in running]
+            self.fleet.kill(running[0])
             self.fleet.world.advance(1)
-            self.fleet.wake(holders[place])
+            self.fleet.wake(holders[index])
             self.fleet.world.advance(30)
-            if 'no' in told:
+            if 'no' in answers:
                 self.assertEqual(self.service.runs_by_key[key], 0)
-            self.fleet.start(left[0])
+            self.fleet.start(running[0])
             node = self.fleet.world.add('orders', self.service.network)
             node.spawn(self.service.run)
             self.fleet.world.advance(20)
 
-    def test_dead_holder_is_passed_over(self):
-        """A VM that remembers the key has died; the list still names it.
+    def test_dead_holder_is_skipped(self):
+        """A holder of the key has died, and the list still names it.
 
-        Its address refuses connections, so it can neither remember nor
-        acknowledge, and the others decide.
+        Its address refuses connections, so it has no records and cannot
+        acknowledge. The other holders are a majority.
         """
         key = self.own_key()
         holders = self.holders(key)
         self.fleet.kill(holders[0])
         self.fleet.world.advance(0.1)
-        other = self.bystander(*holders)
+        other = self.other_vm(*holders)
         self.assertEqual(self.fleet.pay(other, key).status, OK)
         self.assertEqual(self.fleet.pay(holders[2], key).status, OK)
         self.assertEqual(self.service.runs_by_key[key], 1)
 
     def test_all_holders_are_replaced(self):
-        """Every VM that knew of the run is replaced within minutes.
+        """Every VM that recorded the run is replaced within minutes.
 
-        The new processes have no record. They are younger than the key, so
-        they must not take that for "never run".
+        The new processes have no record. They started after the key was
+        made, so they must not conclude that the call never ran.
         """
         key = self.own_key()
         self.assertEqual(self.fleet.pay('vm-0', key).status, OK)
@@ -474,38 +479,39 @@
         self.assertEqual(self.service.runs_by_key[key], 1)
 
     def test_list_changes_under_a_key(self):
-        """The published list changes so much that no holder stays.
+        """The published list changes so that no holder of a key remains.
 
-        The VMs that now hold the key would find no record and run it.
+        The new holders have no record, and would run the call again if they
+        did not take the earlier list into account.
         """
         key = self.own_key()
         holders = self.holders(key)
         self.assertEqual(self.fleet.pay(holders[0], key).status, OK)
         self.fleet.publish_list(without=holders)
         self.fleet.world.advance(10)
-        left = [vm for vm in self.fleet.vms_by_id if vm not in holders]
-        for vm_id in left:
+        remaining = [vm for vm in self.fleet.vms_by_id if vm not in holders]
+        for vm_id in remaining:
             response = self.fleet.pay(vm_id, key)
             self.assertEqual(ran(response), 'unknown')
         self.assertEqual(self.service.runs_by_key[key], 1)
 
-    def test_vm_without_configuration_claims_to_know_nothing(self):
+    def test_vm_without_configuration_answers_unknown(self):
         """A resend reaches a VM that has no configuration yet.
 
-        The payment ran before; that VM must not call it "not run". (Found
-        by the fuzzer.)
+        The payment has run, so that VM must not answer "not run". (Found by
+        the fuzzer.)
         """
         text, executor, witness = self.permit()
         self.assertEqual(self.fleet.pay(executor, text).status, OK)
         self.fleet.daemon(executor).keeper.inventory = Inventory()
-        for vm_id in (executor, self.bystander(executor, witness)):
+        for vm_id in (executor, self.other_vm(executor, witness)):
             response = self.fleet.pay(vm_id, text)
             self.assertEqual(ran(response), 'unknown')
 
-    def test_caller_hangs_up(self):
+    def test_caller_disconnects(self):
         """The caller closes its connection while the payment runs.
 
-        The run goes on, and the resend gets its answer.
+        The run goes on, and a resend gets its answer.
         """
         self.service.run_seconds = 2
         text, executor, witness = self.permit()
@@ -514,14 +520,14 @@
         self.fleet.caller.network.hang_up()
         self.fleet.world.advance(5)
         del first
-        other = self.bystander(executor, witness)
+        other = self.other_vm(executor, witness)
         self.assertEqual(self.fleet.pay(other, text).status, OK)
         self.assertEqual(self.runs(), 1)
 
     def test_leaving_executor_finishes(self):
         """The executor's VM leaves while the payment runs.
 
-        It answers before it goes.
+        It answers the caller before it ends.
         """
         self.service.run_seconds = 6
         text, executor, _witness = self.permit()
@@ -536,10 +542,10 @@
         self.assertEqual(self.runs(), 1)
 
     def test_silent_pooled_connection_is_not_used(self):
-        """Idle connections to the service went silent for good.
+        """Idle pooled connections to the service are silently broken.
 
-        A payment on one of them would hang and end as unknown although the
-        service is well; it takes a new connection instead.
+        A payment sent on one of them would hang and end as "unknown" although
+        the service works. A payment therefore opens a new connection.
         """
         for _index in range(3):
             self.fleet.pay('vm-0', self.permit()[0])
@@ -552,5 +558,5 @@
         self.assertEqual(response.status, OK)
 
     def network_of(self, vm_id):
-        """Give the network of a VM's process."""
+        """Return the network of a VM's process."""
         return self.fleet.vms_by_id[vm_id].node.network
