--- a/flamingovalve/membership/members.py
+++ b/flamingovalve/membership/members.py
@@ -44,7 +44,7 @@
 class Member:
     """One VM of the fleet, as this VM sees it.
 
-    :ivar incarnation: number of the process last heard of; 0 before that
+    :ivar incarnation: incarnation of its latest known process; 0 if unknown
     :ivar counter: raised by the VM itself to refute a suspicion
     :ivar changed_at: when the state last changed, on the clock of this VM
     :ivar heard_at: when a datagram last arrived from the VM itself
