--- a/flamingovalve/claims/executor.py
+++ b/flamingovalve/claims/executor.py
@@ -124,7 +124,7 @@
         request: ServiceRequest,
         addresses: list[str],
     ) -> Response:
-        permit = _parse_checked_permit(request)
+        permit = _parse_and_check_permit(request)
         claim = Claim(
             request,
             ClaimKey(request.key),
@@ -185,7 +185,9 @@
         witness without a record seals the key, so the call can never run.
         """
         if not permit.witness:
-            raise self._unknown_outcome('its executor ended and had no witness')
+            raise self._unknown_outcome(
+                'its executor is unreachable and had no witness'
+            )
         ask = SealAsk(claim.key, permit.witness_incarnation, claim.body_digest)
         _incarnation, reply = await self._seal_at(permit.witness, ask)
         if reply is None or reply.state is ClaimState.REFUSED:
@@ -400,7 +402,7 @@
     return not recorded or recorded == claim.body_digest
 
 
-def _parse_checked_permit(request: ServiceRequest) -> Permit:
+def _parse_and_check_permit(request: ServiceRequest) -> Permit:
     parsed = parse_permit(request.key)
     if parsed.is_error():
         raise parsed.error
--- a/flamingovalve/membership/members.py
+++ b/flamingovalve/membership/members.py
@@ -215,7 +215,7 @@
         """
         member = self.by_id.get(rumour.vm)
         if member is None and self.own_vm is not None:
-            member = self._add_joined(rumour)
+            member = self._add_member(rumour)
         if member is None:
             self._keep_rumour(rumour)
             return False
@@ -257,7 +257,7 @@
         if member.state is state:
             return
         if member.state is State.DEAD:
-            self._hold_returned(member)
+            self._delay_return(member)
         logger.info(
             'VM {} changed from {} to {}',
             member.vm.id,
@@ -342,7 +342,7 @@
         self.own_counter = max(self.own_counter, rumour.counter + 1)
         return True
 
-    def _add_joined(self, rumour: MemberRumour) -> Member | None:
+    def _add_member(self, rumour: MemberRumour) -> Member | None:
         if not rumour.domain or rumour.state is State.DEAD:
             return None
         vm = PublishedVm(
@@ -388,7 +388,7 @@
         member.direct = True
         self._advance_epoch()
 
-    def _hold_returned(self, member: Member) -> None:
+    def _delay_return(self, member: Member) -> None:
         """Delay the presence of a member that returns repeatedly."""
         now = clock.now()
         recent = [
