--- a/flamingovalve/gateway/attempts.py
+++ b/flamingovalve/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""How often a request is sent, and what its caller hears in the end."""
+"""Retry decisions for a request, and the error its caller gets."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 
 logger = get_logger(__name__)
 
-# Refusals cost nothing at an upstream, but each takes a part of the budget.
+# Refusals cost an upstream nothing, but each retry uses the retry budget.
 MOST_SENDS: Final = 5
 
-# By then another upstream of the service has mostly registered.
+# Mostly long enough for another upstream of the service to register.
 _NO_UPSTREAM_SECONDS: Final = 0.5
 
 
 class Attempts:
-    """Notes each send of a request and judges whether one more is due."""
+    """Records each attempt of a request and decides about retries."""
 
     def __init__(
         self,
         budget: FleetRetryBudget,
         quarantine: CrashQuarantine,
     ) -> None:
-        """Take repeats from ``budget``; report each send to ``quarantine``."""
+        """Use retries of ``budget``; report attempts to ``quarantine``."""
         self._budget = budget
         self._quarantine = quarantine
 
     def may_repeat(self, request: InboundRequest, last: Sent) -> bool:
-        """Tell whether a request may be sent once more after ``last``."""
+        """Return whether a request may be sent again after ``last``."""
         if not may_send_again(request, last.outcome):
             return False
         if len(request.tried) >= request.route.most_upstreams:
@@ -57,7 +57,7 @@
         upstream: Upstream,
         sent: Sent,
     ) -> None:
-        """Remember where a request was sent, and whether it may have run."""
+        """Record where a request was sent and whether it may have run."""
         if sent.outcome in {Outcome.NOT_RUN, Outcome.UNREACHABLE}:
             request.refused_by.append(upstream.id)
         else:
@@ -73,7 +73,7 @@
             first_event=round(sent.first_event, 3),
             left=round(request.remaining(), 3),
         )
-        # Apart, as whether an upstream crashed may take a while to find out.
+        # In its own task, as detecting a crashed upstream may take a while.
         await curio.spawn(
             self._quarantine.note,
             request,
@@ -84,7 +84,10 @@
 
 
 def settle(request: InboundRequest, outcome: Outcome) -> ServingError:
-    """Give the final error; an earlier send may have run the request."""
+    """Return the final error.
+
+    If an earlier attempt may have run the request, the error says so.
+    """
     error = failure(outcome)
     if request.tried:
         error.ran = Ran.UNKNOWN
@@ -92,9 +95,9 @@
 
 
 def no_upstream(service: ServiceId) -> ServingError:
-    """Give the error of a service without an upstream."""
+    """Return the error for a service without an available upstream."""
     return ServingError(
         ErrorKind.NO_UPSTREAM,
-        f'no upstream of service {service} takes requests; come back',
+        f'no upstream of service {service} accepts requests; retry later',
         retry_after=_NO_UPSTREAM_SECONDS,
     )
--- a/flamingovalve/gateway/balancer.py
+++ b/flamingovalve/gateway/balancer.py
@@ -1,7 +1,8 @@
-"""Chooses an upstream of a plain service, by what this VM sees of each.
+"""Chooses an upstream of a plain service by this VM's own observations.
 
-Answers services of a few slots that shed when they are full: each VM sends
-where it has least under way, and away from those that fail.
+Upstreams of such services have few slots and refuse calls when they are full.
+Each VM prefers the upstream with the fewest of its own calls in progress and
+avoids failing ones.
 """
 
 from __future__ import annotations
@@ -18,21 +19,25 @@
     from flamingovalve.gateway.model import Upstream
     from flamingovalve.generated.ids import DomainId, UpstreamId
 
-# A service that fails one call in seven by itself stays well below this.
+# An upstream that normally fails one call in seven stays well below this.
 _FAILING_SHARE: Final = 0.35
-_FADE: Final = 0.15
-# Two of a failing upstream's pauses fit into the target of a call.
-_FIRST_PAUSE_SECONDS: Final = 0.5
-_LONGEST_PAUSE_SECONDS: Final = 2.0
+_SMOOTHING_FACTOR: Final = 0.15
+# Two pauses of an unreachable upstream fit into the target of a call.
+_INITIAL_PAUSE_SECONDS: Final = 0.5
+_MAX_PAUSE_SECONDS: Final = 2.0
 _OTHER_DOMAIN_COST: Final = 0.2
 _FAILURE_COST: Final = 6.0
 
 
 @dataclass(slots=True)
-class Seen:
-    """What this VM has seen of one upstream.
-
-    :ivar failing: share of its answers that failed, newer ones first
+class UpstreamStats:
+    """What this VM has observed of one upstream.
+
+    :ivar under_way: calls in progress from this VM
+    :ivar failing: exponentially weighted share of failed calls
+    :ivar unreachable: connection failures since the last success
+    :ivar avoided_until: end of the pause after a connection failure, on the
+        local clock
     """
 
     under_way: int = 0
@@ -42,65 +47,72 @@
 
 
 class Balancer:
-    """Spreads calls over the upstreams of a service."""
+    """Distributes calls over the upstreams of a service."""
 
-    def __init__(self, domain: DomainId, chance: random.Random) -> None:
-        """Prefer upstreams of ``domain`` where all else is equal."""
+    def __init__(self, domain: DomainId, rng: random.Random) -> None:
+        """Prefer upstreams of ``domain`` if the rest is about equal."""
         self._domain = domain
-        self._chance = chance
-        self._seen_by_id: dict[UpstreamId, Seen] = {}
+        self._rng = rng
+        self._stats_by_id: dict[UpstreamId, UpstreamStats] = {}
 
-    def seen(self, upstream: UpstreamId) -> Seen:
-        """Give what was seen of an upstream."""
-        return self._seen_by_id.setdefault(upstream, Seen())
+    def stats(self, upstream: UpstreamId) -> UpstreamStats:
+        """Return the observations of an upstream."""
+        return self._stats_by_id.setdefault(upstream, UpstreamStats())
 
     def choose(
         self,
         upstreams: list[Upstream],
         avoided: Collection[str],
     ) -> Upstream | None:
-        """Give the upstream with the least expected trouble."""
-        fresh = [one for one in upstreams if one.id not in avoided]
-        if not fresh:
+        """Return the upstream with the lowest cost.
+
+        Upstreams in a pause are chosen only if there are no others.
+
+        :param avoided: ids of upstreams that must not be chosen
+        """
+        candidates = [one for one in upstreams if one.id not in avoided]
+        if not candidates:
             return None
-        usable = [one for one in fresh if self._is_usable(one)] or fresh
+        usable = [
+            one for one in candidates if self._is_usable(one)
+        ] or candidates
         return min(usable, key=self._cost)
 
     def started(self, upstream: UpstreamId) -> None:
-        """Count a call as under way."""
-        self.seen(upstream).under_way += 1
+        """Count a call as in progress."""
+        self.stats(upstream).under_way += 1
 
     def succeeded(self, upstream: UpstreamId) -> None:
-        """Count a call as answered well."""
-        seen = self._ended(upstream)
-        seen.failing -= seen.failing * _FADE
-        seen.unreachable = 0
+        """Record that a call succeeded."""
+        stats = self._finish_call(upstream)
+        stats.failing -= stats.failing * _SMOOTHING_FACTOR
+        stats.unreachable = 0
 
     def failed(self, upstream: UpstreamId, *, unreachable: bool) -> None:
-        """Count a call as failed; a silent upstream is left alone a while."""
-        seen = self._ended(upstream)
-        seen.failing += (1 - seen.failing) * _FADE
+        """Record that a call failed; pause an unreachable upstream."""
+        stats = self._finish_call(upstream)
+        stats.failing += (1 - stats.failing) * _SMOOTHING_FACTOR
         if unreachable:
-            pause = _FIRST_PAUSE_SECONDS * 2**seen.unreachable
-            seen.unreachable += 1
-            pause = min(pause, _LONGEST_PAUSE_SECONDS)
-            seen.avoided_until = clock.now() + pause
+            pause = _INITIAL_PAUSE_SECONDS * 2**stats.unreachable
+            stats.unreachable += 1
+            pause = min(pause, _MAX_PAUSE_SECONDS)
+            stats.avoided_until = clock.now() + pause
 
     def abandoned(self, upstream: UpstreamId) -> None:
-        """Count a call as ended without a verdict."""
-        self._ended(upstream)
+        """Record that a call ended without success or failure."""
+        self._finish_call(upstream)
 
-    def _ended(self, upstream: UpstreamId) -> Seen:
-        seen = self.seen(upstream)
-        seen.under_way = max(0, seen.under_way - 1)
-        return seen
+    def _finish_call(self, upstream: UpstreamId) -> UpstreamStats:
+        stats = self.stats(upstream)
+        stats.under_way = max(0, stats.under_way - 1)
+        return stats
 
     def _is_usable(self, upstream: Upstream) -> bool:
-        return clock.now() >= self.seen(upstream.id).avoided_until
+        return clock.now() >= self.stats(upstream.id).avoided_until
 
     def _cost(self, upstream: Upstream) -> float:
-        seen = self.seen(upstream.id)
-        cost = seen.under_way + self._chance.random() * _OTHER_DOMAIN_COST
+        stats = self.stats(upstream.id)
+        cost = stats.under_way + self._rng.random() * _OTHER_DOMAIN_COST
         if upstream.domain != self._domain:
             cost += _OTHER_DOMAIN_COST
-        return cost + max(0, seen.failing - _FAILING_SHARE / 2) * _FAILURE_COST
+        return cost + max(0, stats.failing - _FAILING_SHARE / 2) * _FAILURE_COST
--- a/flamingovalve/gateway/fallback_placement.py
+++ b/flamingovalve/gateway/fallback_placement.py
@@ -1,9 +1,10 @@
-"""Places for completions while no VM gives any out.
+"""Places for completions while a group has no owner.
 
-Answers the second or two in which a group has no owner: its VM ended or fell
-silent, or all VMs have just started. Engines go on serving what they hold, and
-say what that is. A request whose adapter is there is sent by what the engine
-last said; one that guesses wrong is refused by the engine and has not run.
+A group has no owner for a second or two after its VM ended or became
+unreachable, or after all VMs started. Engines continue to serve the adapters
+that they hold and report them. A request whose adapter is in an engine's last
+report is sent there; if the report is outdated, the engine refuses the request
+without running it.
 """
 
 from __future__ import annotations
@@ -32,31 +33,31 @@
 
 # Without an owner nothing is loaded, so reports change little.
 _REPORT_SECONDS: Final = 0.4
-# Places of a batch that VMs take together while none of them sees the others'.
+# Share of a batch that all VMs use together, as none sees the others' places.
 _BATCH_SHARE: Final = 0.5
-_FEWEST_PLACES: Final = 2
+_MIN_PLACES: Final = 2
 
 
 class FallbackPlacement:
-    """Takes places by what engines say of themselves."""
+    """Chooses places by the reports of the engines."""
 
     def __init__(
         self,
         catalogue: Catalogue,
         link_to: Callable[[Upstream], EngineLink],
-        vms: Callable[[], int],
+        vm_count: Callable[[], int],
     ) -> None:
-        """Know of no engine yet.
+        """Start without reports.
 
-        :param link_to: opens the way to an engine
-        :param vms: counts the VMs that share the engines
+        :param link_to: returns the link to an engine
+        :param vm_count: returns the number of VMs that share the engines
         """
         self._catalogue = catalogue
         self._link_to = link_to
-        self._vms = vms
+        self._vm_count = vm_count
         self._reports_by_id: dict[UpstreamId, EngineReport] = {}
-        self._read_at = float('-inf')
-        self._reading = curio.Lock()
+        self._refreshed_at = float('-inf')
+        self._refresh_lock = curio.Lock()
         self._leases: set[PlaceLease] = set()
 
     async def take(
@@ -64,8 +65,11 @@
         request: InboundRequest,
         ask: PlaceAsk,
     ) -> PlaceLease | None:
-        """Take a place on an engine that holds the adapter, if there is one."""
-        await self._read(request.service)
+        """Take a place on an engine that holds the adapter.
+
+        :returns: ``None`` if no such engine has a free place
+        """
+        await self._refresh_reports(request.service)
         upstream = self._least_used(request, ask)
         if upstream is None:
             return None
@@ -79,7 +83,7 @@
             id=request.id,
             upstream=upstream.id,
             adapter=ask.adapter,
-            report_age=round(clock.now() - self._read_at, 2),
+            report_age=round(clock.now() - self._refreshed_at, 2),
         )
         return lease
 
@@ -95,18 +99,18 @@
         )
         if service is None or service.engine is None:
             return None
-        most = self._most_places(service.engine)
-        fitting = [
+        limit = self._max_places(service.engine)
+        candidates = [
             upstream
             for upstream in self._catalogue.upstreams(request.service)
             if self._holds(upstream, request, ask)
-            and used.count(upstream.id) < most
+            and used.count(upstream.id) < limit
         ]
-        return min(fitting, key=lambda one: used.count(one.id), default=None)
+        return min(candidates, key=lambda one: used.count(one.id), default=None)
 
-    def _most_places(self, traits: EngineTraits) -> int:
-        share = traits.batch * _BATCH_SHARE / max(1, self._vms())
-        return max(_FEWEST_PLACES, int(share))
+    def _max_places(self, traits: EngineTraits) -> int:
+        share = traits.batch * _BATCH_SHARE / max(1, self._vm_count())
+        return max(_MIN_PLACES, int(share))
 
     def _holds(
         self,
@@ -124,20 +128,20 @@
         wanted = self._catalogue.wanted_version(ask.model, ask.adapter)
         return report.resident.get(ask.adapter, -1) >= wanted
 
-    async def _read(self, service: ServiceId) -> None:
-        async with self._reading:
-            if clock.now() < self._read_at + _REPORT_SECONDS:
+    async def _refresh_reports(self, service: ServiceId) -> None:
+        async with self._refresh_lock:
+            if clock.now() < self._refreshed_at + _REPORT_SECONDS:
                 return
             upstreams = self._catalogue.upstreams(service)
             async with curio.TaskGroup() as tasks:
                 for upstream in upstreams:
-                    await tasks.spawn(self._read_one, upstream)
+                    await tasks.spawn(self._refresh_report, upstream)
             listed = {upstream.id for upstream in upstreams}
             for name in set(self._reports_by_id) - listed:
                 del self._reports_by_id[name]
-            self._read_at = clock.now()
+            self._refreshed_at = clock.now()
 
-    async def _read_one(self, upstream: Upstream) -> None:
+    async def _refresh_report(self, upstream: Upstream) -> None:
         report = await self._link_to(upstream).report()
         if report is None:
             self._reports_by_id.pop(upstream.id, None)
--- a/flamingovalve/gateway/place_finder.py
+++ b/flamingovalve/gateway/place_finder.py
@@ -24,28 +24,28 @@
 
 logger = get_logger(__name__)
 
-# A new owner claims within about this time after the old one was seen to be
-# gone; asking more often only adds load to it.
-_OWNER_PAUSE_SECONDS: Final = 0.1
-# Beyond this a caller had better come back than wait for an owner.
-_OWNER_PATIENCE_SECONDS: Final = 0.8
+# A new owner claims a group within about this time after the failure of the
+# old one was detected; asking more often only adds load to it.
+_OWNER_RETRY_SECONDS: Final = 0.1
+# Beyond this a later retry serves the caller better than waiting for an owner.
+_MAX_OWNER_WAIT_SECONDS: Final = 0.8
 _NO_OWNER_RETRY_SECONDS: Final = 0.5
-# Each owner that is asked costs an exchange, and some groups without a good
-# place say enough of the rest.
-_MOST_GROUPS_ASKED: Final = 4
-# An owner that was silent is asked last until membership has found out.
+# Each owner asked costs an exchange, and if several groups have no good place,
+# the rest mostly have none either.
+_MAX_GROUPS_ASKED: Final = 4
+# An owner that did not answer is asked last until membership detects a failure.
 _SILENT_SECONDS: Final = 1.5
-# Meanwhile one request in this time asks it all the same.
+# Interval at which one request still asks an owner that did not answer.
 _SILENT_PAUSE_SECONDS: Final = 0.3
 
 
 class PlaceFinder:
     """Asks the owners of a service's groups in turn.
 
-    An owner that has no good place for a request says so at once, and the
-    next in the adapter's order is asked. So an adapter that is asked for
-    more often than one group can serve spreads over several by itself, and
-    a group without an owner costs its requests an exchange, not a wait.
+    An owner without a good place for a request declines at once, and the next
+    group in the adapter's order of preference is asked. So the requests of an
+    adapter that exceed the capacity of one group spread over several, and a
+    group without an owner costs its requests an exchange instead of a wait.
     """
 
     def __init__(
@@ -56,10 +56,10 @@
         probe: Callable[[VmId], Awaitable[None]],
         fallback: FallbackPlacement,
     ) -> None:
-        """Ask the owners that ``claims`` name.
+        """Ask the owners that ``claims`` names.
 
-        :param probe: looks at once whether a VM still answers
-        :param fallback: finds places where no owner answers
+        :param probe: checks immediately whether a VM still answers
+        :param fallback: finds places if no owner answers
         """
         self._fallback = fallback
         self._probe = probe
@@ -67,14 +67,14 @@
         self._places = places
         self._shards = shards
         self._silent_until: dict[VmId, float] = {}
-        self._next_ask: dict[VmId, float] = {}
+        self._next_ask_at: dict[VmId, float] = {}
 
     async def take(self, request: InboundRequest, ask: PlaceAsk) -> PlaceLease:
         """Wait for a place.
 
-        :raises ServingError: when there will be none in time
+        :raises ServingError: if no place is expected in time
         """
-        began = clock.now()
+        started_at = clock.now()
         while True:
             lease = await self._ask_groups(request, ask)
             if lease is not None:
@@ -82,9 +82,9 @@
             lease = await self._take_from_fallback(request, ask)
             if lease is not None:
                 return lease
-            if clock.now() > began + _OWNER_PATIENCE_SECONDS:
+            if clock.now() > started_at + _MAX_OWNER_WAIT_SECONDS:
                 raise _no_owner()
-            await curio.sleep(_OWNER_PAUSE_SECONDS)
+            await curio.sleep(_OWNER_RETRY_SECONDS)
 
     async def _take_from_fallback(
         self,
@@ -108,11 +108,11 @@
         request: InboundRequest,
         ask: PlaceAsk,
     ) -> PlaceLease | None:
-        groups = self._in_turn(request, ask)
+        groups = self._groups_to_ask(request, ask)
         ask.may_decline = len(groups) > 1
         waits: dict[GroupId, float] = {}
         for group in groups:
-            lease = await self._offer(request, ask, group, waits)
+            lease = await self._ask_or_record_wait(request, ask, group, waits)
             if lease is not None:
                 return lease
         if not waits:
@@ -120,14 +120,14 @@
         ask.may_decline = False
         return await self._ask(request, ask, min(waits, key=waits.__getitem__))
 
-    async def _offer(
+    async def _ask_or_record_wait(
         self,
         request: InboundRequest,
         ask: PlaceAsk,
         group: GroupId,
         waits: dict[GroupId, float],
     ) -> PlaceLease | None:
-        """Ask one group; note what wait it expects where it declines."""
+        """Ask one group; if it declines, store its expected wait in ``waits``."""
         try:
             return await self._ask(request, ask, group)
         except ServingError as declined:
@@ -136,15 +136,15 @@
             waits[group] = declined.retry_after or 0
         return None
 
-    def _in_turn(
+    def _groups_to_ask(
         self,
         request: InboundRequest,
         ask: PlaceAsk,
     ) -> list[GroupId]:
-        """Give the groups to ask; those whose owner may answer go first."""
+        """Return the groups to ask; those with a responsive owner go first."""
         ranked = self._shards.preference(request.service, ask)
         ranked.sort(key=self._is_silent)
-        return ranked[:_MOST_GROUPS_ASKED]
+        return ranked[:_MAX_GROUPS_ASKED]
 
     def _is_silent(self, group: GroupId) -> bool:
         owner = self._claims.owner(group)
@@ -152,19 +152,19 @@
             return True
         return clock.now() < self._silent_until.get(owner, 0)
 
-    def _should_spare(self, owner: VmId) -> bool:
-        """Tell whether an owner that was silent should not be asked now.
+    def _should_skip(self, owner: VmId) -> bool:
+        """Return whether an owner that did not answer is skipped for now.
 
-        One that is late gets later by each request that asks it in vain, and
-        each of them loses half a second. One in a while shows whether it
-        answers again.
+        Each request that asks an overloaded owner in vain adds to its delay
+        and loses half a second itself. One request per interval detects
+        whether the owner answers again.
         """
-        moment = clock.now()
-        if moment >= self._silent_until.get(owner, 0):
+        now = clock.now()
+        if now >= self._silent_until.get(owner, 0):
             return False
-        if moment < self._next_ask[owner]:
+        if now < self._next_ask_at[owner]:
             return True
-        self._next_ask[owner] = moment + _SILENT_PAUSE_SECONDS
+        self._next_ask_at[owner] = now + _SILENT_PAUSE_SECONDS
         return False
 
     async def _ask(
@@ -174,7 +174,7 @@
         group: GroupId,
     ) -> PlaceLease | None:
         owner = self._claims.owner(group)
-        if owner is None or self._should_spare(owner):
+        if owner is None or self._should_skip(owner):
             return None
         ask.group = group
         ask.target = request.until_late()
@@ -185,9 +185,9 @@
             lease = await self._places.take(owner, ask)
         except OwnerSilent as silent:
             reason = str(silent)
-            moment = clock.now()
-            self._silent_until[owner] = moment + _SILENT_SECONDS
-            self._next_ask[owner] = moment + _SILENT_PAUSE_SECONDS
+            now = clock.now()
+            self._silent_until[owner] = now + _SILENT_SECONDS
+            self._next_ask_at[owner] = now + _SILENT_PAUSE_SECONDS
             await self._probe(owner)
         except ServingError as refused:
             if refused.kind is not ErrorKind.NOT_OWNER:
@@ -210,6 +210,6 @@
 def _no_owner() -> ServingError:
     return ServingError(
         ErrorKind.NOT_OWNER,
-        'no VM gives out places of these engines at the moment; come back',
+        'no VM currently owns these engines; retry later',
         retry_after=_NO_OWNER_RETRY_SECONDS,
     )
--- a/flamingovalve/gateway/retries.py
+++ b/flamingovalve/gateway/retries.py
@@ -1,8 +1,8 @@
-"""One budget of repeats for the whole fleet, a share for each VM.
+"""The retry budget of the fleet, divided among its VMs.
 
-When upstreams fail for everybody, each request that is sent again adds load
-where there is too much already. No VM knows what the others repeat, so each
-takes its part of the allowance by the number of VMs.
+When upstreams fail for all VMs, each retry adds load to an overloaded service.
+No VM knows how often the others retry, so each uses a share of the budget
+according to the number of VMs.
 """
 
 from __future__ import annotations
@@ -18,44 +18,51 @@
     from flamingovalve.generated.ids import ServiceId
     from flamingovalve.generated.settings import GatewaySettings
 
-# A part of the fleet that cannot see the rest takes too large a share; half
-# of the allowance keeps two equal parts within the whole.
-_SAFETY_SHARE: Final = 0.5
+# In a network partition each side counts too few VMs and takes too large a
+# share; half of the budget keeps two equal sides within the whole.
+_PARTITION_SAFETY_SHARE: Final = 0.5
 
 
 class FleetRetryBudget:
-    """Allows repeats to each service within a sliding window."""
+    """Limits the retries of each service within a sliding window.
+
+    :ivar refused: number of retries that exceeded the budget
+    """
 
     def __init__(
         self,
         settings: GatewaySettings,
-        vms: Callable[[], int],
+        vm_count: Callable[[], int],
     ) -> None:
-        """Share with as many VMs as ``vms`` says."""
+        """Divide the budget by the number of VMs that ``vm_count`` returns."""
         self.refused = 0
         self._settings = settings
-        self._vms = vms
-        self._first: dict[ServiceId, deque[float]] = {}
-        self._repeats: dict[ServiceId, deque[float]] = {}
+        self._vm_count = vm_count
+        self._request_times_by_service: dict[ServiceId, deque[float]] = {}
+        self._retry_times_by_service: dict[ServiceId, deque[float]] = {}
 
     def note_request(self, service: ServiceId) -> None:
         """Count a request for a service."""
-        self._within(self._first, service).append(clock.now())
+        self._recent(self._request_times_by_service, service).append(
+            clock.now()
+        )
 
     def take(self, service: ServiceId) -> bool:
-        """Take one repeat, if there is one."""
+        """Use one retry of the budget; return whether it was available."""
         settings = self._settings
-        repeats = self._within(self._repeats, service)
-        requests = len(self._within(self._first, service))
-        slack = settings.retry_slack / max(1, self._vms())
-        allowed = (slack + settings.retry_ratio * requests) * _SAFETY_SHARE
-        if len(repeats) + 1 > max(1, allowed):
+        retry_times = self._recent(self._retry_times_by_service, service)
+        requests = len(self._recent(self._request_times_by_service, service))
+        slack = settings.retry_slack / max(1, self._vm_count())
+        allowed = (
+            slack + settings.retry_ratio * requests
+        ) * _PARTITION_SAFETY_SHARE
+        if len(retry_times) + 1 > max(1, allowed):
             self.refused += 1
             return False
-        repeats.append(clock.now())
+        retry_times.append(clock.now())
         return True
 
-    def _within(
+    def _recent(
         self,
         times_by_service: dict[ServiceId, deque[float]],
         service: ServiceId,
