--- a/flamingovalve/gateway/admission.py
+++ b/flamingovalve/gateway/admission.py
@@ -1,8 +1,8 @@
-"""Refuses at once what will not get a place in time.
+"""Refuses requests early that are not expected to get a place in time.
 
-Answers bursts over what the engines hold: a caller that hears early, with
-the time after which a place should be free, is better off than one that
-waits in vain.
+In a burst that exceeds the engines' capacity, an early refusal with the time
+after which a place should be free serves a caller better than a wait that ends
+without a place.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 
 from flamingovalve.errors import ErrorKind, ServingError
 from flamingovalve.gateway import dispatch, return_times
-from flamingovalve.gateway.learning import MeanSeconds, Turnover
+from flamingovalve.gateway.learning import MeanSeconds, PlaceInterval
 from flamingovalve.util import clock
 
 if TYPE_CHECKING:
     from flamingovalve.gateway.ledger import EngineLedger
     from flamingovalve.generated.messages import PlaceAsk
 
-# Beyond this share of its caller's patience an answer mostly comes too late.
-_LONGEST_WAIT_SHARE: Final = 0.7
-# Back in time for a first event within about the target.
-_USEFUL_TARGETS: Final = 0.7
-_SHORTEST_RETRY_SECONDS: Final = 0.3
+# A wait beyond this share of the caller's patience mostly ends too late.
+_MAX_WAIT_SHARE: Final = 0.7
+# The caller is back early enough for a first event within about the target.
+_RETURN_TARGET_SHARE: Final = 0.7
+_MIN_RETRY_SECONDS: Final = 0.3
 _NO_ENGINE_RETRY_SECONDS: Final = 0.5
-_FIRST_HOLD_SECONDS: Final = 1.0
-_FIRST_EVENT_SECONDS: Final = 0.1
+_INITIAL_HOLD_SECONDS: Final = 1.0
+_INITIAL_FIRST_EVENT_SECONDS: Final = 0.1
 # A base model takes about this long to load.
 _NO_MODEL_RETRY_SECONDS: Final = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """Who goes before a waiting request.
+    """Position of a waiting request among the late or the timely requests.
 
-    :ivar ahead: requests of its kind that go first
-    :ivar is_late: whether its answer can no longer be in time, so that it
-        waits behind those whose can
-    :ivar is_waited_in: whether it or another has begun to wait there
+    :ivar ahead: number of requests of the same kind that are served first
+    :ivar is_late: whether the answer can no longer be in time; late requests
+        are served after all timely ones
+    :ivar is_waited_in: whether this or another request already waits there
     """
 
     ahead: int
@@ -48,59 +48,62 @@
 
 
 class Admission:
-    """Judges requests that wait for a place.
+    """Estimates waits for a place and refuses requests that wait too long.
 
-    :ivar holds: how long a request keeps its place
-    :ivar first_events: time from sending a request to its first event
-    :ivar in_time: how soon those get a place who can be answered in time
-    :ivar late: how soon the others do, after all of the former
+    :ivar holds: mean seconds for which a request keeps its place
+    :ivar first_events: mean seconds from sending a request to its first event
+    :ivar in_time: interval between places granted to requests that can still
+        be answered in time
+    :ivar late: the same for late requests, which are served after those
     """
 
     def __init__(self) -> None:
-        """Start with guesses of how fast places come free."""
-        self.holds = MeanSeconds(_FIRST_HOLD_SECONDS)
-        self.first_events = MeanSeconds(_FIRST_EVENT_SECONDS)
-        self.in_time = Turnover()
-        self.late = Turnover()
+        """Start with initial estimates."""
+        self.holds = MeanSeconds(_INITIAL_HOLD_SECONDS)
+        self.first_events = MeanSeconds(_INITIAL_FIRST_EVENT_SECONDS)
+        self.in_time = PlaceInterval()
+        self.late = PlaceInterval()
 
-    def in_time_until(
+    def place_deadline(
         self,
         ask: PlaceAsk,
         ahead: int,
         engines: list[EngineLedger],
     ) -> float:
-        """Give until when a place makes an answer come in time, on our clock.
+        """Return the latest time to get a place and still answer in time.
 
-        :param ahead: those who wait and can be answered in time
-        :returns: the past where a place should come later than that
+        :param ahead: waiting requests that can still be answered in time
+        :returns: time on the local clock; the current time if no place is
+            expected early enough
         """
-        moment = clock.now()
+        now = clock.now()
         slots = _slots(engines)
         if not slots:
-            return moment
+            return now
         loading = min(engine.load_seconds(ask.adapter) for engine in engines)
-        for_event = max(
-            dispatch.soonest(ask, engines),
+        first_event_seconds = max(
+            dispatch.min_first_event_seconds(ask, engines),
             self.first_events.mean,
         )
-        slack = ask.target - loading - for_event
-        each = self.in_time.seconds_each(
+        slack = ask.target - loading - first_event_seconds
+        interval = self.in_time.expected_seconds(
             self.holds.mean / slots,
-            is_waited_for=ahead > 0,
+            has_waiting_requests=ahead > 0,
         )
-        if (ahead + 1) * each > slack:
-            return moment
-        return moment + slack
+        if (ahead + 1) * interval > slack:
+            return now
+        return now + slack
 
-    def judge(
+    def find_refusal(
         self,
         ask: PlaceAsk,
         waiting: Line,
         engines: list[EngineLedger],
     ) -> ServingError | None:
-        """Give the refusal of a request that cannot be served in time.
+        """Return a refusal if the request cannot be served in time.
 
-        :param waiting: who goes before it
+        :param waiting: its position in the queue
+        :returns: ``None`` if the request may go on waiting
         """
         if not _slots(engines):
             return _refusal(
@@ -108,25 +111,25 @@
                 'no engine of this group answers yet',
                 _NO_ENGINE_RETRY_SECONDS,
             )
-        for_place = self._until_place(ask, waiting, engines)
-        for_event = dispatch.soonest(ask, engines)
-        if math.isinf(for_event):
+        place_seconds = self._place_wait(ask, waiting, engines)
+        first_event_seconds = dispatch.min_first_event_seconds(ask, engines)
+        if math.isinf(first_event_seconds):
             return _refusal(
                 ask,
                 f'no engine of this group holds model {ask.model}',
                 _NO_MODEL_RETRY_SECONDS,
             )
-        if for_event > ask.patience:
+        if first_event_seconds > ask.patience:
             return _refusal(
                 ask,
-                'every engine has too much to read',
-                for_event - _USEFUL_TARGETS * ask.target,
+                'the prefill backlog of every engine is too long',
+                first_event_seconds - _RETURN_TARGET_SHARE * ask.target,
             )
-        if for_place + for_event > ask.patience * _LONGEST_WAIT_SHARE:
+        if place_seconds + first_event_seconds > ask.patience * _MAX_WAIT_SHARE:
             return _refusal(
                 ask,
                 'every place of this group is taken',
-                for_place,
+                place_seconds,
             )
         return None
 
@@ -136,11 +139,11 @@
         waiting: Line,
         engines: list[EngineLedger],
     ) -> float:
-        """Give the seconds until a first event, a place awaited."""
-        for_event = dispatch.soonest(ask, engines)
-        return self._until_place(ask, waiting, engines) + for_event
+        """Return the expected seconds until a first event, wait included."""
+        first_event_seconds = dispatch.min_first_event_seconds(ask, engines)
+        return self._place_wait(ask, waiting, engines) + first_event_seconds
 
-    def _until_place(
+    def _place_wait(
         self,
         ask: PlaceAsk,
         waiting: Line,
@@ -149,17 +152,17 @@
         slots = _slots(engines)
         if not slots:
             return float('inf')
-        turnover = self.late if waiting.is_late else self.in_time
-        until_loads = dispatch.until_loads(ask, engines)
-        if until_loads > 0:
-            # Nobody gets a place before, which says nothing of how fast
-            # places come free after it.
-            turnover.restart()
-        each = turnover.seconds_each(
+        place_interval = self.late if waiting.is_late else self.in_time
+        load_wait = dispatch.load_wait_seconds(ask, engines)
+        if load_wait > 0:
+            # No place is granted until loads are allowed. This says nothing
+            # about the rate at which places come free afterwards.
+            place_interval.restart()
+        interval = place_interval.expected_seconds(
             self.holds.mean / slots,
-            is_waited_for=waiting.is_waited_in,
+            has_waiting_requests=waiting.is_waited_in,
         )
-        return until_loads + (waiting.ahead + 1) * each
+        return load_wait + (waiting.ahead + 1) * interval
 
 
 def _slots(engines: list[EngineLedger]) -> int:
@@ -167,10 +170,10 @@
 
 
 def _refusal(ask: PlaceAsk, reason: str, retry_after: float) -> ServingError:
-    pause = max(retry_after, _SHORTEST_RETRY_SECONDS)
+    pause = max(retry_after, _MIN_RETRY_SECONDS)
     pause = return_times.spread(pause, ask.request_id)
     return ServingError(
         ErrorKind.OVERLOADED,
-        f'{reason}; come back in {pause:.1f} s',
+        f'{reason}; retry in {pause:.1f} s',
         retry_after=pause,
     )
--- a/flamingovalve/gateway/dispatch.py
+++ b/flamingovalve/gateway/dispatch.py
@@ -1,7 +1,8 @@
-"""Chooses the engine for a request, and what has to be loaded for it.
+"""Chooses the engine for a request and the adapter load that it needs.
 
-Answers the load of very many adapters before few places: a few hold most of
-the requests, the rest come once and need a place for a second or two.
+There are far more adapters than adapter slots. A few adapters receive most of
+the requests; the others are requested once and need a slot for a second or
+two.
 """
 
 from __future__ import annotations
@@ -21,40 +22,41 @@
     from flamingovalve.gateway.popularity import Popularity
     from flamingovalve.generated.messages import PlaceAsk
 
-# Shares of what an answer in time is worth to its caller: lost by a late one,
-# by each second of waiting, by each request that the batch holds already.
-_LATE_SHARE: Final = 0.6
-_WAIT_SHARE: Final = 0.06
-_CROWD_SHARE: Final = 0.0015
-_OTHER_DOMAIN_SHARE: Final = 0.001
-# Lost by evicting an adapter that is asked for once a second.
-_MISSED_SHARE: Final = 0.05
-# Lost by others through a fetch, which takes capacity of the weight store.
-_FETCH_SHARE: Final = 0.15
-# A first event that is expected later than this share of its caller's
-# patience often comes when the caller has left, and reading the prompt delays
-# the others. An engine that has just come in would be given all that wait.
-_USEFUL_SHARE: Final = 0.55
-# Leaves room for what was guessed wrong, and for the ask of another group.
-_GOOD_SHARE: Final = 0.6
-# A queue this short, against the target, is no reason to ask another group.
+# Cost terms, as shares of the value of an answer in time: for a late answer,
+# for each second of waiting, for each request already in the batch.
+_LATE_COST: Final = 0.6
+_WAIT_COST_PER_SECOND: Final = 0.06
+_BATCHED_REQUEST_COST: Final = 0.0015
+_OTHER_DOMAIN_COST: Final = 0.001
+# Cost of evicting an adapter that is requested once a second.
+_EVICTION_COST: Final = 0.05
+# A fetch takes weight store capacity from other loads.
+_FETCH_COST: Final = 0.15
+# If the first event is expected later than this share of the caller's
+# patience, the caller has often disconnected by then, and the prefill delays
+# other requests. Without this bound a newly added engine would be assigned all
+# waiting requests.
+_MAX_PATIENCE_SHARE: Final = 0.55
+# Leaves a margin for estimation errors and for asking another group.
+_ACCEPTABLE_TARGET_SHARE: Final = 0.6
+# A queue of up to this share of the target is no reason to decline.
 _SHORT_QUEUE_SHARE: Final = 0.1
-# Weighs a model that no engine holds before any that one does.
-_NO_HOLDER: Final = 0.01
-_LARGEST_EXPONENT: Final = 30.0
-_SCATTER_SHARE: Final = 0.15
-_SAFE_SHARE: Final = 0.8
+# Divisor that ranks a model without engines above all models with engines.
+_NO_HOLDER_DIVISOR: Final = 0.01
+_MAX_EXPONENT: Final = 30.0
+_WAIT_SCATTER_SHARE: Final = 0.15
+_EVEN_ODDS_SHARE: Final = 0.8
 
 
 @dataclass(slots=True)
 class Choice:
-    """An engine for a request.
+    """An engine chosen for a request.
 
-    :ivar wait: seconds until the first event, as expected
-    :ivar queued: how many of them are due to other requests
+    :ivar wait: expected seconds until the first event
+    :ivar queued: part of ``wait`` in seconds that other requests cause
     :ivar load: whether the adapter has to be loaded first
-    :ivar victim: adapter that makes room for it
-    :ivar held: the adapter, where the engine holds it or is about to
+    :ivar victim: adapter to evict for the load
+    :ivar held: the adapter's entry, if the engine holds or loads it
     """
 
     engine: EngineLedger
@@ -65,7 +67,7 @@
     held: HeldAdapter | None = None
 
     def is_ready(self) -> bool:
-        """Tell whether the engine can take the request as it is."""
+        """Return whether the engine can run the request without a load."""
         if self.load:
             return False
         return self.held is None or self.held.state is Holding.RESIDENT
@@ -77,16 +79,16 @@
     popularity: Popularity,
     wanted_version: int,
 ) -> Choice | None:
-    """Give the engine where the least should be lost.
+    """Return the engine with the lowest expected cost.
 
-    :param wanted_version: the version that the adapter must have; 0 for any
-    :returns: nothing while no engine has a place for the adapter
+    :param wanted_version: minimum version of the adapter; 0 for any
+    :returns: the choice, or ``None`` if no engine can take the request now
     """
     best: Choice | None = None
     best_cost = float('inf')
     for engine in engines:
-        choice = _consider(ask, engine, popularity, wanted_version)
-        if choice is None or choice.wait > ask.patience * _USEFUL_SHARE:
+        choice = _evaluate(ask, engine, popularity, wanted_version)
+        if choice is None or choice.wait > ask.patience * _MAX_PATIENCE_SHARE:
             continue
         cost = expected_loss(ask, choice, popularity)
         if cost < best_cost:
@@ -94,7 +96,7 @@
     return best
 
 
-def _consider(
+def _evaluate(
     ask: PlaceAsk,
     engine: EngineLedger,
     popularity: Popularity,
@@ -103,18 +105,19 @@
     if engine.is_full() or ask.model not in engine.models:
         return None
     if not ask.adapter:
-        return _choice(ask, engine, 0)
+        return _estimate(ask, engine, 0)
     held = engine.held.get(ask.adapter)
     if held is None:
         return _with_load(ask, engine, popularity)
     if held.state is Holding.GOING:
-        # Its unload is on the way. A load beside it would be forgotten with
-        # it, and the engine crashes when it is ordered to hold one too many.
+        # An unload is in progress. Its completion would also remove a load
+        # ordered now from the ledger, and the engine crashes when it is
+        # ordered to hold more adapters than it has slots.
         return None
     if held.version < wanted_version:
         return _with_replacement(ask, engine, held)
     loading = max(0, held.ready_at - clock.now())
-    choice = _choice(ask, engine, loading)
+    choice = _estimate(ask, engine, loading)
     choice.held = held
     return choice
 
@@ -124,10 +127,10 @@
     engine: EngineLedger,
     held: HeldAdapter,
 ) -> Choice | None:
-    """Load another version in the place of the one that is there."""
+    """Return a choice that loads another version into the same slot."""
     if held.uses or not engine.may_load():
         return None
-    choice = _choice(ask, engine, engine.load_seconds(ask.adapter))
+    choice = _estimate(ask, engine, engine.load_seconds(ask.adapter))
     choice.load = True
     return choice
 
@@ -139,7 +142,7 @@
 ) -> Choice | None:
     if not engine.may_load():
         return None
-    choice = _choice(ask, engine, engine.load_seconds(ask.adapter))
+    choice = _estimate(ask, engine, engine.load_seconds(ask.adapter))
     choice.load = True
     if engine.free_slots() > 0:
         return choice
@@ -147,42 +150,50 @@
     return None if choice.victim is None else choice
 
 
-def _choice(ask: PlaceAsk, engine: EngineLedger, loading: float) -> Choice:
-    """Expect a first event; loading overlaps the prompts ahead."""
-    queued = max(0, engine.prefill.ahead() - loading)
+def _estimate(ask: PlaceAsk, engine: EngineLedger, loading: float) -> Choice:
+    """Estimate the first event; the load overlaps queued prefills.
+
+    :param loading: seconds until the adapter is loaded
+    """
+    queued = max(0, engine.prefill.wait_seconds() - loading)
     return Choice(
         engine, loading + queued + engine.prefill_seconds(ask), queued
     )
 
 
 def is_good(ask: PlaceAsk, choice: Choice) -> bool:
-    """Tell whether a choice should be in time, with some to spare.
+    """Return whether a choice should be in time with some margin.
 
-    Answers adapters that are asked for more often than one group of engines
-    can serve: whoever would be late here is better off in another group,
-    also at the price of one more load. A load and a long prompt take as long
-    anywhere else, so a wait for these alone is no reason to decline: adapters
-    would be loaded all over the fleet and kept nowhere.
+    An adapter may be requested more often than one group of engines can
+    serve. A request that would be late in this group is better served by
+    another group, even if that costs one more load. A load and a long prompt
+    take as long in any group, so a wait for these alone is no reason to
+    decline: adapters would be loaded in all groups and stay in none.
     """
     if choice.queued <= ask.target * _SHORT_QUEUE_SHARE:
         return True
-    return choice.wait <= ask.target * _GOOD_SHARE
+    return choice.wait <= ask.target * _ACCEPTABLE_TARGET_SHARE
 
 
-def soonest(ask: PlaceAsk, engines: Iterable[EngineLedger]) -> float:
-    """Give the wait for a first event where it is shortest, places aside."""
+def min_first_event_seconds(
+    ask: PlaceAsk, engines: Iterable[EngineLedger]
+) -> float:
+    """Return the shortest wait for a first event, ignoring places.
+
+    :returns: seconds; infinite if no engine holds the model
+    """
     waits = [
-        engine.prefill.ahead() + engine.prefill_seconds(ask)
+        engine.prefill.wait_seconds() + engine.prefill_seconds(ask)
         for engine in engines
         if ask.model in engine.models
     ]
     return min(waits, default=float('inf'))
 
 
-def until_loads(ask: PlaceAsk, engines: Iterable[EngineLedger]) -> float:
-    """Give the seconds until some engine holds or may load the adapter.
+def load_wait_seconds(ask: PlaceAsk, engines: Iterable[EngineLedger]) -> float:
+    """Return the seconds until some engine holds or may load the adapter.
 
-    An owner that has just started orders nothing for a lease.
+    A new owner sends no orders for the duration of one lease.
     """
     waits = [
         0.0
@@ -197,16 +208,19 @@
     engines: list[EngineLedger],
     asked_by_model: dict[ModelId, int],
 ) -> ModelId:
-    """Give the model whose engines have most to do; empty for none.
+    """Return the model with the highest demand; empty if there is none.
+
+    Used for engines that start without a model. A model that no engine holds
+    ranks highest, then the one with most requests per engine that holds it.
 
-    Answers engines that begin empty. A model that no engine holds goes
-    first, then the one with most requests for each engine that holds it.
+    :param asked_by_model: number of requests for each model
     """
     names = sorted(
         {name for engine in engines for name in engine.traits.models}
     )
     needs = [
-        asked_by_model.get(name, 0) / max(_holders(name, engines), _NO_HOLDER)
+        asked_by_model.get(name, 0)
+        / max(_holders(name, engines), _NO_HOLDER_DIVISOR)
         for name in names
     ]
     if not names:
@@ -215,11 +229,12 @@
 
 
 def is_fetching(engines: list[EngineLedger]) -> bool:
-    """Tell whether a base model is on its way from the weight store.
+    """Return whether a base model is being fetched from the weight store.
 
-    Answers engines that are replaced together. A store that runs one load at
-    full speed takes twice as long for each of two; in turn the first engine
-    serves twice as soon and the second no later.
+    Engines that are replaced together fetch their models one after another.
+    A store that serves one load at full speed takes twice as long for each of
+    two concurrent loads; in sequence the first engine is ready in half that
+    time and the second no later.
     """
     return any(
         engine.is_loading_model() and engine.fetches_model for engine in engines
@@ -230,7 +245,7 @@
     engines: Iterable[EngineLedger],
     popularity: Popularity,
 ) -> bool:
-    """Tell whether some engine could load an adapter for who waits."""
+    """Return whether some engine could load another adapter now."""
     return any(engine.has_opening(popularity) for engine in engines)
 
 
@@ -243,36 +258,41 @@
     choice: Choice,
     popularity: Popularity,
 ) -> float:
-    """Give what a choice should cost, as a share of a request's worth.
+    """Return the expected cost of a choice, as a share of a request's value.
 
-    The request itself loses by being late; those after it by what is
-    fetched from the weight store or pushed out of the engine.
+    Lateness costs the request itself; a fetch from the weight store and an
+    eviction cost later requests.
     """
     engine = choice.engine
-    loss = _LATE_SHARE * _late_probability(choice.wait, ask.target)
-    loss += choice.wait * _WAIT_SHARE + len(engine.places) * _CROWD_SHARE
+    loss = _LATE_COST * _late_probability(choice.wait, ask.target)
+    loss += (
+        choice.wait * _WAIT_COST_PER_SECOND
+        + len(engine.places) * _BATCHED_REQUEST_COST
+    )
     loss += engine.failing
     if engine.upstream.domain != ask.domain:
-        loss += _OTHER_DOMAIN_SHARE
+        loss += _OTHER_DOMAIN_COST
     if choice.victim is not None:
         rate = popularity.per_second(choice.victim.name)
-        loss += min(rate, 1) * _MISSED_SHARE
+        loss += min(rate, 1) * _EVICTION_COST
     if choice.load and ask.adapter not in engine.kept:
-        loss += _FETCH_SHARE
+        loss += _FETCH_COST
     return loss
 
 
 def _late_probability(wait: float, target: float) -> float:
-    """Give how likely a first event is late that should take ``wait``.
+    """Return the probability that the first event misses the target.
+
+    Actual waits scatter around the estimate; a logistic curve models this.
 
-    Waits are guesses, and true ones scatter about them.
+    :param wait: expected seconds until the first event
     """
     if target <= 0:
         return 1.0
-    scatter = _SCATTER_SHARE * target
-    exponent = (wait - _SAFE_SHARE * target) / scatter
-    return 1 / (1 + math.exp(-_bounded(exponent)))
+    scatter = _WAIT_SCATTER_SHARE * target
+    exponent = (wait - _EVEN_ODDS_SHARE * target) / scatter
+    return 1 / (1 + math.exp(-_clamp(exponent)))
 
 
-def _bounded(exponent: float) -> float:
-    return max(-_LARGEST_EXPONENT, min(_LARGEST_EXPONENT, exponent))
+def _clamp(exponent: float) -> float:
+    return max(-_MAX_EXPONENT, min(_MAX_EXPONENT, exponent))
--- a/flamingovalve/gateway/engine.py
+++ b/flamingovalve/gateway/engine.py
@@ -1,4 +1,4 @@
-"""One engine that this VM owns: reports, orders in turn, loads."""
+"""One engine that this VM owns: its reports, orders and loads."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
 
 logger = get_logger(__name__)
 
-# Frequent enough to notice a restart within the lag of a report;
-# orders are counted by ourselves.
+# Frequent enough to detect a restart within the lag of a report. The owner
+# counts its own orders, so it needs no report for these.
 _REPORT_SECONDS: Final = 0.7
 _EAGER_REPORT_SECONDS: Final = 0.3
-_LOADING: Final = frozenset((OrderOutcome.ACCEPTED, OrderOutcome.HOLDS))
-# After this an engine that still shows no model is ordered to load it again.
-_MODEL_LOAD_SECONDS: Final = 6.0
+_LOAD_OUTCOMES: Final = frozenset((OrderOutcome.ACCEPTED, OrderOutcome.HOLDS))
+# An engine that reports no model after this time is ordered to load it again.
+_MODEL_LOAD_TIMEOUT_SECONDS: Final = 6.0
 
 
 class EngineLink(Protocol):
-    """Speaks with one engine."""
+    """Sends requests for reports and orders to one engine."""
 
     async def report(self) -> EngineReport | None:
-        """Give what the engine says of itself, or nothing."""
+        """Return the engine's report, or ``None`` if it does not answer."""
 
     async def order(self, order: Order) -> OrderOutcome:
-        """Send one order."""
+        """Send one order and return its outcome."""
 
 
 @dataclass
 class OwnerCounts:
-    """What the owner of a group did."""
+    """Counters of what the owner of a group did."""
 
     asked: int = 0
     granted: int = 0
@@ -69,39 +69,43 @@
 
 
 class EngineListener(Protocol):
-    """Is told what happens on engines to those who wait for them."""
+    """Receives events of engines that concern waiting requests."""
 
     async def serve_waiting(self) -> None:
-        """Look whether somebody who waits can be served now."""
+        """Serve the waiting requests that can be served now."""
 
     async def requeue(self, waiters: list[Waiter]) -> None:
-        """Let requests wait again whose engine has gone."""
+        """Return requests to the queue after the loss of their engine."""
 
     async def load_failed(
         self,
         waiters: list[Waiter],
         outcome: OrderOutcome,
     ) -> None:
-        """Hear that an adapter will not come."""
+        """Handle the requests that waited for a failed load."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineContext:
-    """What an engine's orders need to know beyond the engine itself.
+    """The owner's state that all of its engines share.
 
-    :ivar missing_model: gives the model that an empty engine should load
+    :ivar choose_model: returns the model that an empty engine should load
     """
 
     vm: VmId
     fences: Fences
     counts: OwnerCounts
     popularity: Popularity
-    missing_model: Callable[[EngineLedger], ModelId]
+    choose_model: Callable[[EngineLedger], ModelId]
     listener: EngineListener
 
 
 class OwnedEngine:
-    """One engine of the group: its ledger, its link, its orders in turn."""
+    """One engine of the group: its ledger, link and serialised orders.
+
+    :ivar waiting: requests that wait for a load, by adapter
+    :ivar report_now: set to read a report without delay
+    """
 
     def __init__(
         self,
@@ -109,7 +113,7 @@
         ledger: EngineLedger,
         link: EngineLink,
     ) -> None:
-        """Keep ``ledger`` up to date by ``link``."""
+        """Keep ``ledger`` up to date through ``link``."""
         self.ledger = ledger
         self._context = context
         self._link = link
@@ -122,35 +126,40 @@
         while True:
             await self._poll_report()
             chain = self.ledger.chain
-            unsure = chain.sequence is None or chain.unanswered
-            unsure = unsure or self.ledger.silent or not self.ledger.models
-            unsure = unsure or self.ledger.fence == NO_FENCE
-            waits = _EAGER_REPORT_SECONDS if unsure else _REPORT_SECONDS
-            paused = chain.stands_down_until - clock.now()
-            if 0 < paused < waits:
-                waits = paused
-            async with curio.ignore_after(waits):
+            uncertain = chain.sequence is None or chain.unanswered
+            uncertain = (
+                uncertain or self.ledger.silent or not self.ledger.models
+            )
+            uncertain = uncertain or self.ledger.fence == NO_FENCE
+            delay = _EAGER_REPORT_SECONDS if uncertain else _REPORT_SECONDS
+            pause = chain.stands_down_until - clock.now()
+            if 0 < pause < delay:
+                delay = pause
+            async with curio.ignore_after(delay):
                 await self.report_now.wait()
             self.report_now.clear()
 
     async def load(self, held: HeldAdapter, victim: HeldAdapter | None) -> None:
-        """Make room and load an adapter; then let those who wait go on."""
+        """Load an adapter, then resume the requests that wait for it.
+
+        :param victim: adapter to unload first, if a slot is needed
+        """
         outcome = OrderOutcome.UNKNOWN
         try:
             async with self._ordering:
                 outcome = await self._load(held, victim)
         finally:
             held.is_ordered = True
-            if outcome not in _LOADING:
-                self._drop(held)
-        if outcome not in _LOADING:
+            if outcome not in _LOAD_OUTCOMES:
+                self._discard_load(held)
+        if outcome not in _LOAD_OUTCOMES:
             waiters = self.waiting.pop(held.name, [])
             await self._context.listener.load_failed(waiters, outcome)
             return
-        await self._fetch(held)
+        await self._await_accepted_load(held)
 
-    async def _fetch(self, held: HeldAdapter) -> None:
-        """Wait for an adapter while others count it as under way."""
+    async def _await_accepted_load(self, held: HeldAdapter) -> None:
+        """Wait for a load and count it as in progress if it is a fetch."""
         loads = self.ledger.loads
         fetches = held.load is not None and not held.load.is_kept
         loads.under_way += fetches
@@ -160,7 +169,7 @@
             loads.under_way -= fetches
 
     async def arrive(self, held: HeldAdapter) -> None:
-        """Wait until an adapter should be there; let go on who waits for it."""
+        """Wait until an adapter should be loaded, then resume its requests."""
         await curio.sleep(max(0, held.ready_at - clock.now()))
         held.replaces = None
         if held.state is Holding.COMING:
@@ -181,20 +190,20 @@
         self._context.counts.loads += 1
         if outcome is OrderOutcome.ACCEPTED:
             self.ledger.chain.note_accepted()
-            self.ledger.note_load_begun(held)
+            self.ledger.record_load_accepted(held)
         elif outcome is OrderOutcome.HOLDS:
             held.ready_at = clock.now()
         else:
-            self._note_refusal(outcome)
+            self._record_refusal(outcome)
         return outcome
 
     def _victim_of_first_order(self, held: HeldAdapter) -> HeldAdapter | None:
-        """Give an adapter to unload before the first load of a new owner.
+        """Return an adapter to unload before the first load of a new owner.
 
-        An engine takes the load of an adapter that is on its way already
-        from anybody, whatever count the order names. So two VMs that both
-        believe to own it could each load the adapter that callers on both
-        sides ask for. Of two unloads it takes only the first one's.
+        An engine accepts a load of an adapter that is already being loaded
+        from any VM, whatever sequence number the order has. So two VMs that
+        both believe to own the engine could each load the same popular
+        adapter. Of two unloads the engine accepts only the first.
         """
         chain = self.ledger.chain
         if chain.ordered or not chain.sequence or held.replaces is not None:
@@ -213,12 +222,12 @@
             self.ledger.forget(victim.name)
             return True
         if outcome is OrderOutcome.ACCEPTED:
-            # Somebody's request still runs on it. It goes when that ends;
-            # reports show when.
+            # A request still uses the adapter. The engine unloads it when
+            # that request ends; a report shows when.
             self.ledger.chain.note_accepted()
             return False
         victim.state = Holding.RESIDENT
-        self._note_refusal(outcome)
+        self._record_refusal(outcome)
         return False
 
     async def _order_adapter(
@@ -263,7 +272,7 @@
         )
         return outcome
 
-    def _note_refusal(self, outcome: OrderOutcome) -> None:
+    def _record_refusal(self, outcome: OrderOutcome) -> None:
         chain = self.ledger.chain
         if outcome is OrderOutcome.UNKNOWN:
             chain.note_unanswered()
@@ -275,26 +284,27 @@
             self._context.fences.outbid()
             self.ledger.fence = self._context.fences.claimed
         elif outcome is OrderOutcome.GONE:
-            self.ledger.note_failure()
+            self.ledger.record_failure()
 
-    def _drop(self, held: HeldAdapter) -> None:
+    def _discard_load(self, held: HeldAdapter) -> None:
         if self.ledger.held.get(held.name) is not held:
             return
         if held.replaces is None:
             self.ledger.forget(held.name)
         else:
-            # The version before it still takes the slot.
+            # The previous version still occupies the slot.
             self.ledger.held[held.name] = held.replaces
 
     async def _poll_report(self) -> None:
         report = await self._link.report()
         ledger = self.ledger
         if report is None:
-            # A dark engine would take requests until its entry lapses, some
-            # four seconds later, and each of them would wait in vain.
-            ledger.note_silence()
+            # Otherwise an unreachable engine would be assigned requests until
+            # its entry expires some four seconds later, and each would wait
+            # in vain.
+            ledger.record_silence()
             return
-        ledger.note_answer()
+        ledger.record_answer()
         if ledger.born and report.born != ledger.born:
             self._context.counts.restarts += 1
             logger.warning('upstream {} restarted', ledger.upstream.id)
@@ -305,7 +315,7 @@
         if ledger.chain.note_report(report):
             self._context.counts.foreign += 1
             logger.warning(
-                'upstream {} obeys somebody else; sequence={}',
+                'upstream {} accepts orders of another VM; sequence={}',
                 ledger.upstream.id,
                 report.sequence,
             )
@@ -326,34 +336,33 @@
         await self._context.listener.serve_waiting()
 
     async def _find_fence(self) -> None:
-        """Find a fencing number that exceeds those of all earlier orders."""
+        """Find a fencing number greater than those of all earlier orders."""
         ledger = self.ledger
         if ledger.fence != NO_FENCE:
             return
         fences = self._context.fences
         ledger.fence = await fences.found_after(ledger.chain.quiet_since)
         if ledger.fence == NO_FENCE and not ledger.chain.foreign:
-            # The store is away. Nobody else was seen to order, and our claim
-            # exceeds all that were heard of while it was made.
+            # The store is unavailable. No other VM was seen to send orders,
+            # and this claim exceeds all that were known when it was made.
             ledger.fence = fences.claimed
 
     async def load_model(self) -> None:
-        """Load a base model into an engine that began without one.
+        """Load a base model into an engine that has none.
 
-        An engine that was added, or that restarted, holds nothing. Without
-        this a fifth of the capacity of five engines stays idle after each
-        of them was replaced.
+        An engine that was added or restarted holds no model. Without this,
+        replacing one of five engines leaves a fifth of their capacity idle.
         """
-        model = self._context.missing_model(self.ledger)
+        model = self._context.choose_model(self.ledger)
         if not model or not self.ledger.may_order():
             return
         self.ledger.fetches_model = model not in self.ledger.at_hand
-        self.ledger.model_ready_at = clock.now() + _MODEL_LOAD_SECONDS
+        self.ledger.model_ready_at = clock.now() + _MODEL_LOAD_TIMEOUT_SECONDS
         async with self._ordering:
             outcome = await self._send(Action.LOAD, model, AdapterId(''), 0)
-        if outcome in _LOADING:
+        if outcome in _LOAD_OUTCOMES:
             self.ledger.chain.note_accepted()
             self._context.counts.model_loads += 1
             return
         self.ledger.model_ready_at = 0
-        self._note_refusal(outcome)
+        self._record_refusal(outcome)
--- a/flamingovalve/gateway/learning.py
+++ b/flamingovalve/gateway/learning.py
@@ -1,8 +1,8 @@
-"""What an owner learns of its engines from the requests that they served.
+"""Estimates that an owner derives from the requests its engines served.
 
 Services differ by a factor of ten in how long a request keeps its place and
-how many adapters an engine keeps at hand. A fixed figure is wrong for all
-but one of them, so each is a first guess that what is seen corrects.
+in how many adapters an engine keeps in memory. No fixed value fits them all,
+so each value starts as an initial estimate that observations correct.
 """
 
 from __future__ import annotations
@@ -15,95 +15,105 @@
 if TYPE_CHECKING:
     from flamingovalve.generated.ids import AdapterId
 
-# Share of the newest time in a mean, as TCP smooths its round trips.
-_STEP: Final = 0.125
-# Adapters that gave up their slot and may still be in an engine's memory.
-_REMEMBERED_ADAPTERS: Final = 512
-_FIRST_LOAD_SECONDS: Final = 0.25
-# An adapter in an engine's own memory takes this share of a fetch.
-_KEPT_SHARE: Final = 0.1
-_FIRST_FULL_SPEED: Final = 8.0
-_MOST_FULL_SPEED: Final = 512.0
-# Loads more at full speed after one that came in time, until the first that
-# did not; after it, this share more.
-_FIRST_STEP: Final = 1.0
-_LATER_SHARE: Final = 0.003
-_MISS_SHARE: Final = 0.06
-_SHRINK_SHARE: Final = 0.001
-# Below this share of full speed a late load tells of loads as such.
-_LITTLE_CONTENTION: Final = 0.5
-_FIRST_KEPT: Final = 48
-# Loads are tried as if this many more were kept than have been seen to be.
-_FIRST_MARGIN: Final = 24
-_LARGEST_MARGIN: Final = 128
-# One adapter that is missing may have been dropped for another reason.
-_MISSED_SHARE: Final = 0.9
+# Weight of the newest sample in a mean, as for the round-trip time of TCP.
+_SMOOTHING_FACTOR: Final = 0.125
+# Unloaded adapters that may still be in an engine's memory.
+_MAX_REMEMBERED_ADAPTERS: Final = 512
+_INITIAL_LOAD_SECONDS: Final = 0.25
+# A load from an engine's own memory takes this share of a fetch.
+_KEPT_LOAD_SHARE: Final = 0.1
+_INITIAL_FULL_SPEED_LOADS: Final = 8.0
+_MAX_FULL_SPEED_LOADS: Final = 512.0
+# Increase of the number of full-speed loads after a load that was ready in
+# time: this many before the first late load, afterwards this share.
+_INITIAL_INCREASE_LOADS: Final = 1.0
+_LATER_INCREASE_SHARE: Final = 0.003
+_MISS_CHANGE_SHARE: Final = 0.06
+_HIT_DECREASE_SHARE: Final = 0.001
+# At or below this contention a late load means that a single load is slower.
+_LOW_CONTENTION: Final = 0.5
+_INITIAL_KEPT_ADAPTERS: Final = 48
+# Adapters beyond the known capacity that are also assumed to be kept.
+_INITIAL_PROBE_MARGIN: Final = 24
+_MAX_PROBE_MARGIN: Final = 128
+# A single missing adapter may have been dropped for another reason.
+_CAPACITY_AFTER_MISS_SHARE: Final = 0.9
 
 
 class MeanSeconds:
-    """How long something takes, averaged over the last times."""
+    """Exponentially weighted mean of durations, in seconds."""
 
-    def __init__(self, guess: float) -> None:
-        """Start with a guess."""
-        self.mean = guess
+    def __init__(self, initial: float) -> None:
+        """Start with an initial estimate."""
+        self.mean = initial
 
     def note(self, seconds: float) -> None:
-        """Take one more time into account."""
-        self.mean += (seconds - self.mean) * _STEP
+        """Add one measured duration."""
+        self.mean += (seconds - self.mean) * _SMOOTHING_FACTOR
 
 
-class Turnover:
-    """How often a place comes free for somebody who waits.
+class PlaceInterval:
+    """Mean interval between places granted to waiting requests.
 
-    The adapters in demand keep most slots for good, so the number of slots
-    says little of how fast those who wait get one.
+    Popular adapters keep most slots permanently, so the number of slots says
+    little about how fast waiting requests get one.
     """
 
     def __init__(self) -> None:
-        """Start without anything seen."""
-        self._interval: float | None = None
-        self._since = clock.now()
+        """Start without observations."""
+        self._mean_interval: float | None = None
+        self._interval_started_at = clock.now()
 
     def restart(self) -> None:
         """Measure the next interval from now on.
 
-        For when somebody begins to wait where nobody did, and while no place
-        can come free.
+        Called when a request begins to wait in an empty queue, and while no
+        place can come free.
         """
-        self._since = clock.now()
-
-    def note_place(self) -> None:
-        """Note that somebody who waited got a place."""
-        moment = clock.now()
-        passed = moment - self._since
-        self._since = moment
-        if self._interval is None:
-            self._interval = passed
+        self._interval_started_at = clock.now()
+
+    def record_place(self) -> None:
+        """Record that a waiting request got a place."""
+        now = clock.now()
+        elapsed = now - self._interval_started_at
+        self._interval_started_at = now
+        if self._mean_interval is None:
+            self._mean_interval = elapsed
         else:
-            self._interval += (passed - self._interval) * _STEP
-
-    def seconds_each(self, guess: float, *, is_waited_for: bool) -> float:
-        """Give the time from one place to the next.
-
-        :param guess: what to go by while nothing has been seen
-        :param is_waited_for: whether somebody waits, so that a standstill
+            self._mean_interval += (
+                elapsed - self._mean_interval
+            ) * _SMOOTHING_FACTOR
+
+    def expected_seconds(
+        self, initial: float, *, has_waiting_requests: bool
+    ) -> float:
+        """Return the expected seconds between two granted places.
+
+        :param initial: estimate in seconds to use without observations
+        :param has_waiting_requests: whether requests wait; then the current
+            interval counts as soon as it exceeds the mean, so that a stall
             shows before it ends
         """
-        seen = guess if self._interval is None else self._interval
-        if not is_waited_for:
-            return seen
-        return max(seen, clock.now() - self._since)
+        interval = (
+            initial if self._mean_interval is None else self._mean_interval
+        )
+        if not has_waiting_requests:
+            return interval
+        return max(interval, clock.now() - self._interval_started_at)
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectedLoad:
-    """What was expected of one load until a request showed the truth.
+    """The estimate for one load, until a request shows its outcome.
+
+    Times are on the local clock.
 
-    :ivar is_kept: whether the engine was thought to have it in its memory
-    :ivar contention: loads under way over those that run at full speed
-    :ivar began_at: when its order was accepted, on our clock
-    :ivar ready_at: when it should be there, on our clock
-    :ivar fetched_at: when it should be there if it had to be fetched
+    :ivar is_kept: whether the engine is assumed to have the adapter in memory
+    :ivar contention: loads in progress divided by those that the weight store
+        serves at full speed
+    :ivar began_at: when the order was accepted
+    :ivar ready_at: when the adapter should be loaded
+    :ivar fetched_at: when it should be loaded if it had to be fetched
     """
 
     is_kept: bool
@@ -114,114 +124,126 @@
 
 
 class LoadTimes:
-    """How long loads take, alone and while others are under way.
+    """Estimates how long loads take, alone and concurrently.
 
-    The weight store serves some loads at full speed; more take longer in
-    proportion. Neither figure is told. Requests are sent when their adapter
-    should be there, and an engine refuses those that come too early: from a
-    refusal the times grow, from successes they shrink, as a sender on a
-    network learns its share of a link.
+    The weight store serves a number of loads at full speed; beyond it loads
+    slow down in proportion. Neither that number nor the duration of a load is
+    published. Requests are sent when their adapter should be loaded, and an
+    engine refuses those that arrive too early: a refusal increases the
+    estimates and successes decrease them, as in network congestion control.
+
+    :ivar seconds: estimated seconds of one load at full speed
+    :ivar full_speed: estimated number of loads served at full speed
+    :ivar under_way: loads in progress
     """
 
-    def __init__(self, seconds: float = _FIRST_LOAD_SECONDS) -> None:
-        """Start with a guess.
+    def __init__(self, seconds: float = _INITIAL_LOAD_SECONDS) -> None:
+        """Start with initial estimates.
 
-        :param seconds: of one load from the weight store
+        :param seconds: duration of one load from the weight store
         """
         self.seconds = seconds
-        self.full_speed = _FIRST_FULL_SPEED
+        self.full_speed = _INITIAL_FULL_SPEED_LOADS
         self.under_way = 0
-        self._was_missed = False
+        self._has_missed = False
         self._missed_at = float('-inf')
 
     def expected(self, *, is_kept: bool) -> ExpectedLoad:
-        """Give what to expect of a load that begins now."""
-        moment = clock.now()
+        """Return the estimate for a load that begins now."""
+        now = clock.now()
         contention = (self.under_way + 1) / self.full_speed
-        fetching = self.seconds * max(1, contention)
-        taking = self.seconds * _KEPT_SHARE if is_kept else fetching
+        fetch_seconds = self.seconds * max(1, contention)
+        load_seconds = (
+            self.seconds * _KEPT_LOAD_SHARE if is_kept else fetch_seconds
+        )
         return ExpectedLoad(
             is_kept,
             contention,
-            moment,
-            moment + taking,
-            moment + fetching,
+            now,
+            now + load_seconds,
+            now + fetch_seconds,
         )
 
-    def note_hit(self, load: ExpectedLoad) -> None:
-        """Note that an adapter was there when it should have been."""
+    def record_hit(self, load: ExpectedLoad) -> None:
+        """Record that an adapter was loaded when expected."""
         if load.is_kept:
             return
         if load.contention > 1:
-            step = _FIRST_STEP
-            if self._was_missed:
-                step = _LATER_SHARE * self.full_speed
-            self.full_speed = min(self.full_speed + step, _MOST_FULL_SPEED)
+            increase = _INITIAL_INCREASE_LOADS
+            if self._has_missed:
+                increase = _LATER_INCREASE_SHARE * self.full_speed
+            self.full_speed = min(
+                self.full_speed + increase, _MAX_FULL_SPEED_LOADS
+            )
         else:
-            self.seconds *= 1 - _SHRINK_SHARE
+            self.seconds *= 1 - _HIT_DECREASE_SHARE
 
-    def note_miss(self, load: ExpectedLoad) -> None:
-        """Note that an adapter was not there yet."""
+    def record_miss(self, load: ExpectedLoad) -> None:
+        """Record that an adapter was not loaded when expected."""
         if load.is_kept or load.began_at < self._missed_at:
-            # Loads that began before the last miss tell of the same moment.
+            # Loads that began before the last miss show the same congestion.
             return
         self._missed_at = clock.now()
-        if load.contention > _LITTLE_CONTENTION:
-            self._was_missed = True
-            self.full_speed = max(1, self.full_speed * (1 - _MISS_SHARE))
+        if load.contention > _LOW_CONTENTION:
+            self._has_missed = True
+            self.full_speed = max(1, self.full_speed * (1 - _MISS_CHANGE_SHARE))
         else:
-            self.seconds *= 1 + _MISS_SHARE
+            self.seconds *= 1 + _MISS_CHANGE_SHARE
 
 
 class KeptAdapters:
     """Which adapters an engine still has in its memory after their unload.
 
-    The engine drops those that were used longest ago, at a number that it
-    does not say. It is found out by loading a few more as if they were there:
-    an engine that does not have one refuses its request without running it.
+    The engine drops the least recently used ones beyond a capacity that it
+    does not report. The capacity is probed by treating a few more adapters as
+    kept: an engine that lacks one refuses the request without running it.
+
+    :ivar capacity: estimated number of unloaded adapters that are kept
     """
 
     def __init__(self) -> None:
-        """Know of none."""
-        self.capacity = _FIRST_KEPT
-        self._margin = _FIRST_MARGIN
-        self._left: dict[AdapterId, int] = {}
-        self._departures = 0
+        """Start without unloaded adapters."""
+        self.capacity = _INITIAL_KEPT_ADAPTERS
+        self._probe_margin = _INITIAL_PROBE_MARGIN
+        self._unload_number_by_name: dict[AdapterId, int] = {}
+        self._unload_count = 0
 
     def __contains__(self, name: AdapterId) -> bool:
-        """Tell whether an adapter should be at hand."""
+        """Return whether an adapter is assumed to be in memory."""
         depth = self._depth(name)
-        return depth is not None and depth <= self.capacity + self._margin
-
-    def note_left(self, name: AdapterId) -> None:
-        """Note that an adapter gave up its slot."""
-        self._departures += 1
-        self._left.pop(name, None)
-        self._left[name] = self._departures
-        while len(self._left) > _REMEMBERED_ADAPTERS:
-            self._left.pop(next(iter(self._left)))
-
-    def note_found(self, name: AdapterId) -> None:
-        """Note that an adapter was at hand when it was loaded."""
+        return depth is not None and depth <= self.capacity + self._probe_margin
+
+    def record_unload(self, name: AdapterId) -> None:
+        """Record that an adapter was unloaded."""
+        self._unload_count += 1
+        self._unload_number_by_name.pop(name, None)
+        self._unload_number_by_name[name] = self._unload_count
+        while len(self._unload_number_by_name) > _MAX_REMEMBERED_ADAPTERS:
+            self._unload_number_by_name.pop(
+                next(iter(self._unload_number_by_name))
+            )
+
+    def record_kept(self, name: AdapterId) -> None:
+        """Record that an adapter was still in memory when loaded."""
         depth = self._depth(name)
         if depth is not None and depth > self.capacity:
             self.capacity = depth
-            self._margin = min(2 * self._margin, _LARGEST_MARGIN)
+            self._probe_margin = min(2 * self._probe_margin, _MAX_PROBE_MARGIN)
 
-    def note_missed(self, name: AdapterId) -> None:
-        """Note that an adapter had to be fetched."""
+    def record_dropped(self, name: AdapterId) -> None:
+        """Record that an adapter was no longer in memory when loaded."""
         depth = self._depth(name)
         if depth is None:
             return
-        self._margin = max(self._margin // 2, 1)
+        self._probe_margin = max(self._probe_margin // 2, 1)
         if depth <= self.capacity:
-            self.capacity = int(self.capacity * _MISSED_SHARE)
+            self.capacity = int(self.capacity * _CAPACITY_AFTER_MISS_SHARE)
 
     def clear(self) -> None:
-        """Count nothing as kept: the engine began anew."""
-        self._left.clear()
+        """Forget all adapters after a restart of the engine."""
+        self._unload_number_by_name.clear()
 
     def _depth(self, name: AdapterId) -> int | None:
-        """Give how many adapters left after this one."""
-        departure = self._left.get(name)
-        return None if departure is None else self._departures - departure
+        """Return the number of unloads since the unload of this adapter."""
+        number = self._unload_number_by_name.get(name)
+        return None if number is None else self._unload_count - number
--- a/flamingovalve/gateway/ledger.py
+++ b/flamingovalve/gateway/ledger.py
@@ -1,4 +1,4 @@
-"""What the owner of an engine knows of it: adapters, places, backlog."""
+"""The owner's state of an engine: adapters, places, prefill backlog."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from flamingovalve.gateway.fencing import NO_FENCE
 from flamingovalve.gateway.learning import ExpectedLoad, KeptAdapters, LoadTimes
 from flamingovalve.gateway.prefill import PrefillBacklog
-from flamingovalve.gateway.prompts import ReadParts
+from flamingovalve.gateway.prompts import CachedParts
 from flamingovalve.util import clock
 
 if TYPE_CHECKING:
@@ -20,32 +20,32 @@
     from flamingovalve.generated.messages import PlaceAsk
     from flamingovalve.generated.settings import GatewaySettings
 
-# A load that was refused as not there yet is tried again after this.
-_LATE_LOAD_SECONDS: Final = 0.03
-# An engine carries this many adapters on their way at once.
-_MOST_COMING: Final = 4
-# Reading a long prompt costs more than its tokens: attention grows with the
-# square of its length.
+# Delay before a request retries an adapter that was not loaded yet.
+_LATE_LOAD_RETRY_SECONDS: Final = 0.03
+# Concurrent adapter loads that an engine supports.
+_MAX_CONCURRENT_LOADS: Final = 4
+# Prefill time grows faster than the number of tokens, as the cost of attention
+# grows with the square of the prompt length.
 _SECONDS_PER_TOKEN_PAIR: Final = 0.737e-9
-# Of five requests in a row that fail, an engine is known to fail most.
-_FAILING_STEP: Final = 0.15
-# An engine that failed a request is left alone for twice this, then longer.
-_FIRST_PAUSE_SECONDS: Final = 0.25
-_LONGEST_PAUSE_SECONDS: Final = 4.0
-# First events sooner than this tell of the network, not of the engine.
-_SHORTEST_EXPECTATION_SECONDS: Final = 0.1
-# One odd request in sixteen moves the pace by less than a tenth; an engine
-# that is slow by half is known after a second or two of load.
-_PACE_STEP: Final = 0.08
-_MOST_RATIO: Final = 3.0
-# Beyond these a pace tells of something else than the engine's speed.
-_LEAST_PACE: Final = 0.7
-_MOST_PACE: Final = 4.0
-_FIRST_PACE: Final = 1.25
+# Five consecutive failures bring the failing share above one half.
+_FAILING_SMOOTHING_FACTOR: Final = 0.15
+# The first pause after a failure is twice this; each further one doubles.
+_BASE_PAUSE_SECONDS: Final = 0.25
+_MAX_PAUSE_SECONDS: Final = 4.0
+# A first event expected sooner measures the network rather than the engine.
+_MIN_EXPECTED_SECONDS: Final = 0.1
+# One outlier in sixteen requests changes the pace by less than a tenth; an
+# engine that is slow by half is detected after a second or two of load.
+_PACE_EXPONENT: Final = 0.08
+_MAX_RATIO: Final = 3.0
+# A pace outside these bounds has causes other than the engine's speed.
+_MIN_PACE: Final = 0.7
+_MAX_PACE: Final = 4.0
+_INITIAL_PACE: Final = 1.25
 
 
 class Holding(Enum):
-    """Where an adapter is on its way into or out of an engine."""
+    """State of an adapter on an engine: loading, loaded or unloading."""
 
     COMING = 'coming'
     RESIDENT = 'resident'
@@ -54,16 +54,17 @@
 
 @dataclass(slots=True)
 class HeldAdapter:
-    """One adapter that takes a slot.
-
-    :ivar uses: places in use on it
-    :ivar ready_at: when its load should be complete, on our clock
-    :ivar replaces: the version that stays if the load does not come about
-    :ivar is_ordered: false while its load still waits for its turn or for an
-        answer; no report can show it before
-    :ivar load: what was expected of its load, until a request shows whether
-        it was there
-    :ivar is_seen: whether a report or a request has shown it on the engine
+    """One adapter that occupies a slot.
+
+    :ivar uses: number of places that use it
+    :ivar ready_at: when its load should be complete, on the local clock
+    :ivar replaces: the previous version, which stays if the load fails
+    :ivar is_ordered: false while its load order is queued or unanswered;
+        until then no report can show the adapter
+    :ivar load: the estimate for its load, until a request shows whether the
+        adapter was loaded by then
+    :ivar is_seen: whether a report or a request has confirmed it on the
+        engine
     """
 
     name: AdapterId
@@ -78,10 +79,10 @@
     is_seen: bool = True
 
     def is_idle(self) -> bool:
-        """Tell whether it could give up its slot.
+        """Return whether the adapter can be evicted.
 
-        One that should be there by now may still be on its way, and an
-        engine has nothing to unload then.
+        An adapter that should be loaded by now may still be loading, and the
+        engine cannot unload it until then.
         """
         if self.state is not Holding.RESIDENT or not self.is_seen:
             return False
@@ -90,10 +91,10 @@
 
 @dataclass(slots=True)
 class Place:
-    """One request that an engine was chosen for.
+    """The place of one request on an engine.
 
-    :ivar expected: seconds from its start to the first event, as expected
-    :ivar taken_at: when it was given, on our clock
+    :ivar expected: expected seconds from its start to the first event
+    :ivar taken_at: when the place was granted, on the local clock
     """
 
     ask: PlaceAsk
@@ -104,18 +105,21 @@
 
 @dataclass(slots=True)
 class EngineLedger:
-    """One engine as its owner knows it.
-
-    :ivar parts: parts of prompts that it has read and keeps
-    :ivar prefill: prompts given to it that should not be read yet
-    :ivar pace: measured time to a first event over what prompts alone take
-    :ivar avoided_until: not chosen before this moment after a failure
-    :ivar failing: share of its requests that failed lately
-    :ivar silent: whether it did not answer when it was last asked
-    :ivar model_ready_at: when a base model on its way should be there
+    """The state of one engine as its owner knows it.
+
+    :ivar parts: prompt parts in its prefix cache
+    :ivar prefill: estimated prefill work queued on it
+    :ivar pace: measured time to a first event, divided by the nominal prefill
+        time
+    :ivar avoided_until: end of the pause after a failure, on the local clock
+    :ivar failing: exponentially weighted share of failed requests
+    :ivar silent: whether it did not answer the last request for a report
+    :ivar model_ready_at: when a base model being loaded should be ready
     :ivar at_hand: models that it can load without the weight store
-    :ivar fence: fencing number of our next order; none until it was found
-    :ivar fetches_model: whether the model on its way comes from that store
+    :ivar fence: fencing number of the next order; ``NO_FENCE`` until found
+    :ivar fetches_model: whether the model being loaded comes from the weight
+        store
+    :ivar kept: adapters still in its memory after their unload
     """
 
     upstream: Upstream
@@ -125,10 +129,10 @@
     held: dict[AdapterId, HeldAdapter] = field(default_factory=dict)
     models: set[ModelId] = field(default_factory=set)
     places: dict[str, Place] = field(default_factory=dict)
-    parts: ReadParts = field(default_factory=ReadParts)
+    parts: CachedParts = field(default_factory=CachedParts)
     born: int = 0
     prefill: PrefillBacklog = field(default_factory=PrefillBacklog)
-    pace: float = _FIRST_PACE
+    pace: float = _INITIAL_PACE
     avoided_until: float = 0
     failures: int = 0
     failing: float = 0
@@ -140,10 +144,10 @@
     reported_at: float = float('-inf')
     kept: KeptAdapters = field(default_factory=KeptAdapters)
     loads: LoadTimes = field(default_factory=LoadTimes)
-    _victim: HeldAdapter | None = None
+    _cached_victim: HeldAdapter | None = None
 
     def state_dump(self) -> dict[str, Any]:
-        """Give what is known of the engine."""
+        """Return the engine's entry in the state dump."""
         return {
             'held': list(self.held),
             'places': len(self.places),
@@ -154,50 +158,50 @@
         }
 
     def may_order(self) -> bool:
-        """Tell whether this engine may be given an order now."""
+        """Return whether an order may be sent to this engine now."""
         return self.fence != NO_FENCE and self.chain.may_order()
 
     def slots(self) -> int:
-        """Give the number of adapters that fit beside the models."""
+        """Return the number of adapters that fit beside the models."""
         traits = self.traits
-        room = traits.weight_mb
+        free_mb = traits.weight_mb
         size = 0.0
         for name in self.models:
             model = traits.models.get(name)
             if model is not None:
-                room -= model.weight_mb
+                free_mb -= model.weight_mb
                 size = max(size, model.adapter_mb)
-        by_weight = int(room // size) if size else traits.adapter_slots
+        by_weight = int(free_mb // size) if size else traits.adapter_slots
         return max(0, min(traits.adapter_slots, by_weight))
 
     def free_slots(self) -> int:
-        """Give the slots that no adapter takes."""
+        """Return the number of unoccupied slots."""
         return self.slots() - len(self.held)
 
     def coming(self) -> int:
-        """Count the adapters on their way."""
+        """Return the number of adapters being loaded."""
         return sum(
             entry.state is Holding.COMING for entry in self.held.values()
         )
 
     def prefill_seconds(self, ask: PlaceAsk) -> float:
-        """Give what reading the prompt of ``ask`` should take here.
+        """Return the expected seconds to prefill the prompt of ``ask``.
 
-        Parts that this engine has read for the same adapter, all parts
-        before them included, are kept and cost nothing.
+        Parts in the prefix cache cost nothing. A part is cached if the engine
+        processed it for the same adapter after the same preceding parts.
         """
-        unread = max(0, ask.prompt_tokens - self.parts.tokens_of(ask))
-        pairs = unread * ask.prompt_tokens
+        uncached = max(0, ask.prompt_tokens - self.parts.cached_tokens(ask))
+        pairs = uncached * ask.prompt_tokens
         rate = self.settings.prefill_tokens_per_second
-        return (unread / rate + pairs * _SECONDS_PER_TOKEN_PAIR) * self.pace
+        return (uncached / rate + pairs * _SECONDS_PER_TOKEN_PAIR) * self.pace
 
     def take(self, ask: PlaceAsk) -> Place:
-        """Count a request as running here, once however often it is told."""
+        """Count a request as running here; a repeated call counts once."""
         known = self.places.get(ask.request_id)
         if known is not None:
             self.give_back(known)
         seconds = self.prefill_seconds(ask)
-        expected = self.prefill.ahead() + seconds
+        expected = self.prefill.wait_seconds() + seconds
         place = Place(ask, self, expected, clock.now())
         self.places[ask.request_id] = place
         self.prefill.add(ask.priority, seconds)
@@ -209,41 +213,41 @@
         return place
 
     def give_back(self, place: Place) -> None:
-        """Count a request as ended."""
+        """Count a request as ended; a repeated call has no effect."""
         if self.places.pop(place.ask.request_id, None) is None:
             return
         adapter = self.held.get(place.ask.adapter)
         if adapter is not None and adapter.uses:
             adapter.uses -= 1
             if not adapter.uses:
-                self._victim = None
+                self._cached_victim = None
 
     def least_valuable(self, popularity: Popularity) -> HeldAdapter | None:
-        """Give the idle adapter that is asked for most rarely.
+        """Return the idle adapter with the lowest request rate.
 
-        Every choice asks for it, so the last answer is kept until one more
-        adapter is idle.
+        Every choice of an engine needs it, so the result is cached until
+        another adapter becomes idle.
         """
-        known = self._victim
-        if known is not None and self._could_give_way(known):
+        known = self._cached_victim
+        if known is not None and self._is_evictable(known):
             return known
         idle = [held for held in self.held.values() if held.is_idle()]
-        self._victim = min(
+        self._cached_victim = min(
             idle,
             key=lambda held: (popularity.rank(held.name), held.used_at),
             default=None,
         )
-        return self._victim
+        return self._cached_victim
 
     def is_full(self) -> bool:
-        """Tell whether its batch takes no more requests."""
+        """Return whether its batch is full."""
         return len(self.places) >= self.traits.batch
 
-    def _could_give_way(self, held: HeldAdapter) -> bool:
+    def _is_evictable(self, held: HeldAdapter) -> bool:
         return held.is_idle() and self.held.get(held.name) is held
 
     def has_opening(self, popularity: Popularity) -> bool:
-        """Tell whether an adapter that is not here could be loaded now."""
+        """Return whether another adapter could be loaded now."""
         if self.is_full() or not self.may_load():
             return False
         if self.free_slots() > 0:
@@ -251,63 +255,64 @@
         return self.least_valuable(popularity) is not None
 
     def load_seconds(self, name: AdapterId) -> float:
-        """Give what loading an adapter should take if it began now."""
+        """Return the expected seconds of a load that begins now."""
         load = self.loads.expected(is_kept=name in self.kept)
         return load.ready_at - clock.now()
 
-    def note_load_begun(self, held: HeldAdapter) -> None:
-        """Expect an adapter whose load the engine has just accepted."""
+    def record_load_accepted(self, held: HeldAdapter) -> None:
+        """Record that the engine has accepted the load of an adapter."""
         held.load = self.loads.expected(is_kept=held.name in self.kept)
         held.ready_at = held.load.ready_at
 
     def note_adapter_missing(self, name: AdapterId) -> HeldAdapter | None:
-        """Note that the engine refused a request for want of its adapter.
+        """Record that the engine refused a request without its adapter.
 
-        :returns: the adapter, if it should come yet
+        :returns: the adapter, if its load should still complete
         """
         held = self.held.get(name)
         if held is None or held.state is not Holding.RESIDENT:
             return None
         held.state = Holding.COMING
-        held.ready_at = clock.now() + _LATE_LOAD_SECONDS
+        held.ready_at = clock.now() + _LATE_LOAD_RETRY_SECONDS
         load = held.load
         held.load = None
         if load is not None:
-            self.loads.note_miss(load)
+            self.loads.record_miss(load)
             if load.is_kept:
-                self.kept.note_missed(name)
+                self.kept.record_dropped(name)
                 held.ready_at = max(held.ready_at, load.fetched_at)
         return held
 
     def note_adapter_present(self, name: AdapterId) -> None:
-        """Note that a request found its adapter loaded."""
+        """Record that a request found its adapter loaded."""
         held = self.held.get(name)
         if held is None:
             return
         held.is_seen = True
         if held.load is None:
             return
-        self.loads.note_hit(held.load)
+        self.loads.record_hit(held.load)
         if held.load.is_kept:
-            self.kept.note_found(name)
+            self.kept.record_kept(name)
         held.load = None
 
     def may_load(self) -> bool:
-        """Tell whether the engine takes one more load."""
-        return self.may_order() and self.coming() < _MOST_COMING
+        """Return whether the engine accepts another load."""
+        return self.may_order() and self.coming() < _MAX_CONCURRENT_LOADS
 
     def forget(self, name: AdapterId) -> None:
-        """Count an adapter as gone, with what was kept for it."""
+        """Record that an adapter is unloaded and drop its cached prompts."""
         gone = self.held.pop(name, None)
         if gone is not None:
             gone.state = Holding.GOING
-        self.kept.note_left(name)
+        self.kept.record_unload(name)
         self.parts.forget(name)
 
     def adopt(self, report: EngineReport) -> None:
-        """Take over what a report shows, where our own orders say nothing.
+        """Update the state from a report.
 
-        Only a report that knows of our last order is as new as what we know.
+        Adapters are updated only if the report includes the last order of
+        this owner; an earlier report is older than the ledger.
         """
         self.reported_at = clock.now()
         self.models = set(report.models)
@@ -322,7 +327,7 @@
                 held.ready_at = clock.now() + self.loads.seconds
                 self.held[name] = held
         self._forget_missing({*report.resident, *report.coming})
-        self._victim = None
+        self._cached_victim = None
 
     def _adopt_resident(self, name: AdapterId, version: int) -> None:
         known = self.held.get(name)
@@ -330,7 +335,7 @@
             self.held[name] = HeldAdapter(name, version, Holding.RESIDENT)
             return
         if version < known.version:
-            # A report that is older than the load of this version.
+            # The report is older than the load of this version.
             return
         known.version = version
         known.is_seen = True
@@ -338,7 +343,7 @@
             known.state = Holding.RESIDENT
 
     def _forget_missing(self, shown: set[AdapterId]) -> None:
-        # A report may be older than what was ordered a moment ago.
+        # A report may be older than the latest orders.
         oldest = clock.now() - self.settings.report_lag_seconds * 2
         missing = [
             held.name
@@ -351,10 +356,10 @@
             self.forget(name)
 
     def restart(self, born: int) -> None:
-        """Count everything as lost: the engine began anew."""
+        """Reset the state after a restart of the engine."""
         self.born = born
         self.held.clear()
-        self._victim = None
+        self._cached_victim = None
         self.models.clear()
         self.model_ready_at = 0
         self.parts.clear()
@@ -364,47 +369,49 @@
         self.chain.restart()
 
     def is_usable(self) -> bool:
-        """Tell whether requests may be sent here at the moment."""
+        """Return whether requests may be sent to this engine now."""
         return not self.silent and clock.now() >= self.avoided_until
 
     def is_loading_model(self) -> bool:
-        """Tell whether a base model is on its way here."""
+        """Return whether a base model is being loaded."""
         return not self.models and clock.now() < self.model_ready_at
 
-    def note_answer(self) -> None:
-        """Note that the engine answers when it is asked."""
+    def record_answer(self) -> None:
+        """Record that the engine answered."""
         self.silent = False
 
-    def note_silence(self) -> None:
-        """Choose the engine no more until it answers again."""
+    def record_silence(self) -> None:
+        """Exclude the engine from choices until it answers again."""
         self.silent = True
 
-    def note_failure(self) -> None:
-        """Avoid the engine for a while, longer with each failure in a row."""
+    def record_failure(self) -> None:
+        """Pause the engine, longer with each consecutive failure."""
         self.failures += 1
-        pause = _FIRST_PAUSE_SECONDS * 2**self.failures
-        pause = min(pause, _LONGEST_PAUSE_SECONDS)
+        pause = _BASE_PAUSE_SECONDS * 2**self.failures
+        pause = min(pause, _MAX_PAUSE_SECONDS)
         self.avoided_until = clock.now() + pause
 
     def note_verdict(self, *, failed: bool) -> None:
-        """Learn from the end of one request.
+        """Record whether a request failed.
 
-        An engine that fails some of its requests still serves the others.
-        Left alone for a while after each failure, engines that all fail in
-        part would serve half of what they could.
+        An engine that fails some requests still serves the others. If each
+        failure paused the engine, engines that all fail some requests would
+        serve half of what they could.
         """
-        self.failing += (failed - self.failing) * _FAILING_STEP
+        self.failing += (failed - self.failing) * _FAILING_SMOOTHING_FACTOR
         if not failed:
             self.failures = 0
 
     def note_first_event(self, place: Place, seconds: float) -> None:
-        """Learn how fast the engine is from one measured first event.
+        """Update the pace from one measured time to a first event.
 
-        What waits was estimated with the pace of its time, so the ratio of
-        measured to expected corrects the pace itself.
+        The expected time was estimated with the pace of that time, so the
+        ratio of measured to expected time corrects the pace itself.
+
+        :param seconds: measured time from the start to the first event
         """
-        if place.expected < _SHORTEST_EXPECTATION_SECONDS:
+        if place.expected < _MIN_EXPECTED_SECONDS:
             return
-        ratio = min(max(seconds / place.expected, 1 / _MOST_RATIO), _MOST_RATIO)
-        self.pace *= ratio**_PACE_STEP
-        self.pace = min(max(self.pace, _LEAST_PACE), _MOST_PACE)
+        ratio = min(max(seconds / place.expected, 1 / _MAX_RATIO), _MAX_RATIO)
+        self.pace *= ratio**_PACE_EXPONENT
+        self.pace = min(max(self.pace, _MIN_PACE), _MAX_PACE)
--- a/flamingovalve/gateway/place_queue.py
+++ b/flamingovalve/gateway/place_queue.py
@@ -1,4 +1,4 @@
-"""Decides who of those that wait gets the next place, and who gets none."""
+"""Decides which waiting requests get a place and which are refused."""
 
 from __future__ import annotations
 
@@ -25,24 +25,25 @@
 logger = get_logger(__name__)
 
 _SWEEP_SECONDS: Final = 0.05
-# Waiting requests that are tried after each event. One that cannot be served
-# is mostly followed by others that cannot either.
-_MOST_TRIED: Final = 3
-# Those that a sweep tries, from the first on, and judges, from the last on.
-_MOST_SWEPT: Final = 12
+# Failed attempts after which serving stops. A request that cannot be served
+# is mostly followed by others that cannot be served either.
+_MAX_FAILED_ATTEMPTS: Final = 3
+# Requests at either end of the queue that one sweep examines.
+_MAX_SWEPT_REQUESTS: Final = 12
 
 
 class PlaceQueue:
     """The requests that wait for a place of one group.
 
-    Answers bursts over what the engines hold: what an event costs does not
-    grow with the number of those who wait.
+    The cost of an event does not grow with the number of waiting requests, so
+    bursts beyond the engines' capacity don't slow the owner down.
     """
 
     def __init__(self, engines: EngineGroup, grant: Grant) -> None:
-        """Start with nobody waiting.
+        """Start without waiting requests.
 
-        :param grant: gives a place to a request that waits no more
+        :param grant: called to give a place to a request that was removed
+            from the queue
         """
         self.admission = Admission()
         self._engines = engines
@@ -50,23 +51,23 @@
         self._waiting = WaitingRequests()
 
     def __len__(self) -> int:
-        """Count who waits."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
     def remove(self, waiter: Waiter) -> None:
-        """Let a request wait no more."""
+        """Remove a request from the queue."""
         self._waiting.remove(waiter)
 
     async def refuse_all(self, refusal: ServingError) -> None:
-        """Refuse whoever waits."""
+        """Refuse every waiting request."""
         for waiter in list(self._waiting):
             await self.refuse(waiter, refusal)
 
     def enqueue(self, waiter: Waiter) -> None:
-        """Let a request wait for its turn."""
+        """Add a request to the queue."""
         ask = waiter.ask
         waiting = self._waiting
-        waiter.in_time_until = self.admission.in_time_until(
+        waiter.place_deadline = self.admission.place_deadline(
             ask,
             waiting.in_time_count(),
             self._engines.candidates(ask),
@@ -78,19 +79,19 @@
         waiting.add(waiter)
 
     async def serve_waiting(self) -> None:
-        """Give places to those who wait for a slot, as far as there are any.
+        """Give the available places to waiting requests, in turn.
 
-        Every ask, end and load comes here, so it looks at no more of those
-        who wait than could be served: the rest costs nothing.
+        Runs after every ask, end of a request and load, so it examines no
+        more waiting requests than it can serve, plus a few failures.
         """
-        for waiter in self._waiting.demote_late():
+        for waiter in self._waiting.demote_overdue():
             await self.refuse_if_hopeless(waiter)
         failures = 0
-        while failures < _MOST_TRIED and self._may_serve_more():
+        while failures < _MAX_FAILED_ATTEMPTS and self._may_serve_more():
             waiters = self._waiting.first(failures + 1)
             if len(waiters) <= failures:
                 return
-            if not await self._try(waiters[failures]):
+            if not await self._try_to_grant(waiters[failures]):
                 failures += 1
 
     def _may_serve_more(self) -> bool:
@@ -98,9 +99,9 @@
             return False
         return self._engines.has_openings()
 
-    async def _try(self, waiter: Waiter) -> bool:
-        """Give a place to one request, and to those of the same adapter."""
-        waiter.age()
+    async def _try_to_grant(self, waiter: Waiter) -> bool:
+        """Give a place to one request and to others of the adapter it loads."""
+        waiter.update_times()
         choice = self._engines.choose(waiter.ask)
         if choice is None:
             return False
@@ -110,63 +111,63 @@
         return True
 
     async def grant_same_adapter(self, adapter: AdapterId) -> None:
-        """Let those go on who wait for an adapter that has come in."""
+        """Give places to the requests that wait for an available adapter."""
         for waiter in self._waiting.of_adapter(adapter):
-            waiter.age()
+            waiter.update_times()
             choice = self._engines.choose(waiter.ask)
             if choice is None or choice.load:
                 return
             await self._grant(waiter, choice)
 
     async def fill(self, engine: EngineLedger) -> None:
-        """Serve who waits for an engine that was full to its last place."""
+        """Serve waiting requests after a full engine has a place again."""
         for name in list(engine.held):
             if engine.is_full():
                 return
             await self.grant_same_adapter(name)
 
     async def sweep_forever(self) -> None:
-        """Look after those who wait until cancelled."""
+        """Sweep the queue periodically until cancelled."""
         while True:
             await curio.sleep(_SWEEP_SECONDS)
             if self._waiting:
                 await self._sweep()
 
     async def _sweep(self) -> None:
-        """Try and judge some of those who wait, whatever happened.
+        """Serve or refuse some waiting requests without a triggering event.
 
-        Nobody tells when a backlog has been read, when an engine's pause is
-        over, or when an engine with which others reckoned is lost.
+        No event reports that a prefill backlog is empty, that an engine's
+        pause is over, or that an engine counted in estimates is lost.
         """
-        for waiter in self._waiting.first(_MOST_SWEPT):
+        for waiter in self._waiting.first(_MAX_SWEPT_REQUESTS):
             if waiter in self._waiting:
-                await self._try(waiter)
-        for waiter in self._waiting.first(_MOST_SWEPT):
+                await self._try_to_grant(waiter)
+        for waiter in self._waiting.first(_MAX_SWEPT_REQUESTS):
             await self.refuse_if_hopeless(waiter)
-        for waiter in self._waiting.last(_MOST_SWEPT):
+        for waiter in self._waiting.last(_MAX_SWEPT_REQUESTS):
             await self.refuse_if_hopeless(waiter)
 
     async def refuse_if_hopeless(self, waiter: Waiter) -> None:
-        """Refuse a request that should get no place in time."""
+        """Refuse a waiting request that is not expected to be in time."""
         if waiter not in self._waiting:
             return
-        waiter.age()
-        refusal = self.admission.judge(
+        waiter.update_times()
+        refusal = self.admission.find_refusal(
             waiter.ask,
-            self._line_before(waiter),
+            self._position_of(waiter),
             self._engines.candidates(waiter.ask),
         )
         if refusal is not None:
             await self.refuse(waiter, refusal)
 
-    def _line_before(self, waiter: Waiter) -> Line:
+    def _position_of(self, waiter: Waiter) -> Line:
         ahead = self._waiting.ahead_of(waiter)
         if waiter.turn.is_late:
             ahead -= self._waiting.in_time_count()
         return Line(ahead, waiter.turn.is_late)
 
     async def refuse(self, waiter: Waiter, refusal: ServingError) -> None:
-        """Refuse a request, whether it waits or its load has failed."""
+        """Refuse a request that waits or whose load has failed."""
         ahead = self._waiting.ahead_of(waiter)
         self._waiting.remove(waiter)
         self._engines.counts.refused += 1
@@ -188,8 +189,8 @@
     async def _grant(self, waiter: Waiter, choice: Choice) -> None:
         if not self._waiting.remove(waiter):
             return
-        turnover = self.admission.in_time
+        place_interval = self.admission.in_time
         if waiter.turn.is_late:
-            turnover = self.admission.late
-        turnover.note_place()
+            place_interval = self.admission.late
+        place_interval.record_place()
         await self._grant_place(waiter, choice)
--- a/flamingovalve/gateway/popularity.py
+++ b/flamingovalve/gateway/popularity.py
@@ -1,4 +1,4 @@
-"""How often each adapter is asked for."""
+"""Request rate of each adapter."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 if TYPE_CHECKING:
     from flamingovalve.generated.ids import AdapterId
 
-# A shorter memory forgets popular adapters between two of their requests.
+# A shorter half-life forgets popular adapters between two of their requests.
 _RATE_HALF_LIFE_SECONDS: Final = 15.0
-# Callers name adapters as they like, so their number is bounded.
-_RATED_ADAPTERS: Final = 2000
+# Callers choose adapter names freely, so the number of entries is bounded.
+_MAX_RATED_ADAPTERS: Final = 2000
 
 
 class Popularity:
-    """How often each adapter is asked for."""
+    """Request rate of each adapter."""
 
     def __init__(self) -> None:
-        """Start with nothing known."""
+        """Start without requests."""
         self._by_name: dict[AdapterId, DecayingRate] = {}
 
     def note(self, name: AdapterId) -> None:
@@ -29,15 +29,15 @@
             rate = DecayingRate(_RATE_HALF_LIFE_SECONDS)
         self._by_name[name] = rate
         rate.add()
-        while len(self._by_name) > _RATED_ADAPTERS:
+        while len(self._by_name) > _MAX_RATED_ADAPTERS:
             self._by_name.pop(next(iter(self._by_name)))
 
     def per_second(self, name: AdapterId) -> float:
-        """Give the requests a second for an adapter."""
+        """Return the requests per second for an adapter."""
         rate = self._by_name.get(name)
         return rate.per_second() if rate else 0
 
     def rank(self, name: AdapterId) -> float:
-        """Give a number by which adapters can be ordered, the rarest first."""
+        """Return a sort key; the least requested adapter has the lowest."""
         rate = self._by_name.get(name)
         return rate.rank if rate else float('-inf')
--- a/flamingovalve/gateway/prefill.py
+++ b/flamingovalve/gateway/prefill.py
@@ -1,8 +1,8 @@
-"""How much prompt an engine still has to read, by urgency.
+"""The prefill work queued on an engine, by priority.
 
-Answers engines whose time goes into reading prompts: a review of 9,000
-tokens takes a third of a second, so three that wait make the next one late.
-An engine reads the prompts of more urgent requests first.
+Prefill can dominate an engine's time: a prompt of 9,000 tokens takes a third
+of a second, so three queued ones make the next request late. An engine
+processes the prompts of more urgent requests first.
 """
 
 from __future__ import annotations
@@ -11,47 +11,47 @@
 
 
 class PrefillBacklog:
-    """Seconds of reading that wait, drained as time passes.
+    """Seconds of queued prefill work, drained as time passes.
 
-    Nobody reports when a prompt has been read, so the queue is drained by
+    Engines do not report when a prefill is done, so the backlog is drained by
     the clock, the most urgent work first.
     """
 
     def __init__(self) -> None:
-        """Start with nothing to read."""
+        """Start with an empty backlog."""
         self._seconds_by_priority: dict[int, float] = {}
-        self._at = clock.now()
+        self._drained_at = clock.now()
 
     def add(self, priority: int, seconds: float) -> None:
-        """Add the prompt of a request."""
+        """Add the prefill of a request, which takes ``seconds``."""
         self._drain()
         waiting = self._seconds_by_priority.get(priority, 0)
         self._seconds_by_priority[priority] = waiting + seconds
 
-    def ahead(self) -> float:
-        """Give the seconds until one more prompt is begun.
+    def wait_seconds(self) -> float:
+        """Return the seconds until the prefill of a new request can begin.
 
-        Less urgent prompts count too: an engine finishes a long one that it
-        has begun before it reads a short one that is more urgent. Left out,
-        a question waited half a second behind a long document on an engine
-        that seemed to be free.
+        Less urgent prompts count too: an engine finishes a long prefill that
+        it has begun before a short one that is more urgent. Without them, a
+        short request waited half a second for a long document on an engine
+        that seemed idle.
         """
         self._drain()
         return sum(self._seconds_by_priority.values())
 
     def clear(self) -> None:
-        """Count nothing as waiting: the engine began anew."""
+        """Empty the backlog after a restart of the engine."""
         self._seconds_by_priority.clear()
 
     def _drain(self) -> None:
-        moment = clock.now()
-        left = moment - self._at
-        self._at = moment
+        now = clock.now()
+        elapsed = now - self._drained_at
+        self._drained_at = now
         for priority in sorted(self._seconds_by_priority):
             waiting = self._seconds_by_priority[priority]
-            read = min(waiting, left)
-            left -= read
-            if waiting > read:
-                self._seconds_by_priority[priority] = waiting - read
+            done = min(waiting, elapsed)
+            elapsed -= done
+            if waiting > done:
+                self._seconds_by_priority[priority] = waiting - done
             else:
                 del self._seconds_by_priority[priority]
--- a/flamingovalve/gateway/prompts.py
+++ b/flamingovalve/gateway/prompts.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts an engine has read and need not read again."""
+"""Prompt parts in the prefix cache of an engine."""
 
 from __future__ import annotations
 
@@ -8,54 +8,55 @@
     from flamingovalve.generated.ids import AdapterId
     from flamingovalve.generated.messages import PlaceAsk
 
-# Parts that are remembered for each adapter, the latest ones.
-_REMEMBERED_PARTS: Final = 64
+# Most recently used parts that are tracked for each adapter.
+_MAX_CACHED_PARTS: Final = 64
 
 
-class ReadParts:
-    """Shared parts of prompts, by the adapter for which they were read."""
+class CachedParts:
+    """Cached shared parts of prompts, by adapter."""
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Start with an empty cache."""
         self._by_adapter: dict[AdapterId, dict[str, None]] = {}
 
-    def tokens_of(self, ask: PlaceAsk) -> int:
-        """Give the tokens of a prompt that were read before.
+    def cached_tokens(self, ask: PlaceAsk) -> int:
+        """Return the number of tokens of a prompt that are cached.
 
-        An engine reuses a part only behind the same ones and for the same
-        adapter.
+        An engine reuses a part only after the same preceding parts and for
+        the same adapter.
         """
-        known = self._by_adapter.get(ask.adapter)
+        cached = self._by_adapter.get(ask.adapter)
         tokens = 0
-        if known is not None:
+        if cached is not None:
             for key, size in _part_keys(ask):
-                if key not in known:
+                if key not in cached:
                     break
                 tokens += size
         return tokens
 
     def add(self, ask: PlaceAsk) -> None:
-        """Note that a prompt is read."""
-        known = self._by_adapter.setdefault(ask.adapter, {})
+        """Record that a prompt is processed."""
+        cached = self._by_adapter.setdefault(ask.adapter, {})
         for key, _size in _part_keys(ask):
-            known.pop(key, None)
-            known[key] = None
-        while len(known) > _REMEMBERED_PARTS:
-            known.pop(next(iter(known)))
+            cached.pop(key, None)
+            cached[key] = None
+        while len(cached) > _MAX_CACHED_PARTS:
+            cached.pop(next(iter(cached)))
 
     def forget(self, adapter: AdapterId) -> None:
-        """Count what was read for an adapter as dropped with it."""
+        """Drop the parts of an adapter that was unloaded."""
         self._by_adapter.pop(adapter, None)
 
     def clear(self) -> None:
-        """Count everything as dropped."""
+        """Drop all parts."""
         self._by_adapter.clear()
 
 
 def _part_keys(ask: PlaceAsk) -> list[tuple[str, int]]:
-    """Give a key and the size of each shared part, in order.
+    """Return a key and the token count of each shared part, in order.
 
-    The key holds all parts before.
+    The key of a part includes all preceding parts. The last part of a prompt
+    is not shared.
     """
     keys = []
     path = ''
--- a/flamingovalve/gateway/waiting.py
+++ b/flamingovalve/gateway/waiting.py
@@ -1,8 +1,8 @@
-"""Requests that wait for a place on an engine, in the order of their turns.
+"""Requests that wait for a place on an engine, in the order of service.
 
-Answers bursts over what the engines hold: hundreds of requests may wait, and
-an event that frees one place must not look at all of them. Turns, positions
-and limits are kept sorted, so each costs the logarithm of their number.
+In a burst hundreds of requests may wait, and an event that frees one place
+must not scan all of them. Turns, positions and deadlines are kept sorted, so
+each operation takes logarithmic time.
 """
 
 from __future__ import annotations
@@ -24,17 +24,21 @@
     from flamingovalve.generated.ids import AdapterId
     from flamingovalve.generated.messages import PlaceAsk
 
-# A request goes ahead of those that are less urgent by one rank and came this
-# much before it. With strict ranks, urgent requests that alone exceed what the
-# engines serve would leave the others none at all.
-_RANK_SECONDS: Final = 0.4
+# A request is served before one that is a priority level less urgent and
+# arrived up to this much earlier. With strict priorities, urgent requests that
+# alone exceed the capacity would starve all others.
+_PRIORITY_LEVEL_SECONDS: Final = 0.4
 
 
 class Turn(NamedTuple):
-    """When the turn of a waiting request comes; the lowest goes first."""
+    """Sort key of a waiting request; the lowest is served first.
+
+    :ivar due_at: arrival time, delayed according to the priority
+    :ivar serial: makes keys unique
+    """
 
     is_late: bool
-    moment: float
+    due_at: float
     serial: int
 
 
@@ -42,103 +46,104 @@
 class Waiter:
     """One request that waits for a place.
 
-    :ivar aged_at: up to when its times left were counted down
-    :ivar place: the place, once an engine was chosen
-    :ivar refusal: why there will be none
-    :ivar is_gone: whether its caller has left
-    :ivar in_time_until: a place before this moment still makes its answer
-        come in time, on our clock
+    :ivar times_updated_at: when the remaining times of ``ask`` were last updated
+    :ivar settled: set when the request has a place or a refusal
+    :ivar place: the place, once an engine is chosen
+    :ivar refusal: why the request gets no place
+    :ivar is_gone: whether the caller has disconnected
+    :ivar place_deadline: latest time, on the local clock, to get a place and
+        still answer in time
     """
 
     ask: PlaceAsk
     asked_at: float
-    aged_at: float
+    times_updated_at: float
     settled: curio.Event = field(default_factory=curio.Event)
     place: Place | None = None
     refusal: ServingError | None = None
     is_gone: bool = False
-    in_time_until: float = 0
-    turn: Turn = Turn(is_late=False, moment=0, serial=0)
+    place_deadline: float = 0
+    turn: Turn = Turn(is_late=False, due_at=0, serial=0)
 
-    def age(self) -> None:
-        """Count down what is left of its request's times.
+    def update_times(self) -> None:
+        """Subtract the time waited from the request's remaining times.
 
-        Without this a request that waited for two seconds got a place as if
-        its caller had all of its patience left, and the caller was gone
+        Without this a request that had waited for two seconds got a place as
+        if all of its caller's patience were left, and the caller disconnected
         before the first event.
         """
-        moment = clock.now()
-        elapsed = moment - self.aged_at
-        self.aged_at = moment
+        now = clock.now()
+        elapsed = now - self.times_updated_at
+        self.times_updated_at = now
         self.ask.target -= elapsed
         self.ask.patience -= elapsed
         self.ask.remaining -= elapsed
 
 
 class WaitingRequests:
-    """Keeps those who wait by their turn and by their adapter.
+    """Waiting requests, sorted by turn and indexed by adapter.
 
-    Who can still be answered in time goes first. In turn of their coming,
-    a burst that lasts makes everybody wait until just too late: as many are
-    served, but none of them in time.
+    Requests that can still be answered in time are served first. In plain
+    order of arrival, a long burst makes every request wait until just after
+    its target: as many are served, but none in time.
     """
 
     def __init__(self) -> None:
-        """Start with nobody waiting."""
+        """Start without waiting requests."""
         self._by_turn: SortedDict = SortedDict()
-        self._by_limit: SortedDict = SortedDict()
+        self._by_deadline: SortedDict = SortedDict()
         self._by_adapter: dict[AdapterId, dict[Turn, Waiter]] = {}
         self._serials = itertools.count()
 
     def __len__(self) -> int:
-        """Count who waits."""
+        """Return the number of waiting requests."""
         return len(self._by_turn)
 
     def __contains__(self, waiter: Waiter) -> bool:
-        """Tell whether a request waits."""
+        """Return whether a request waits."""
         return self._by_turn.get(waiter.turn) is waiter
 
     @property
     def late_count(self) -> int:
-        """Count those whose answer can no longer be in time."""
+        """Number of requests that can no longer be answered in time."""
         return len(self) - self.in_time_count()
 
     def in_time_count(self) -> int:
-        """Count those whose answer can still be in time."""
-        return len(self._by_limit)
+        """Return the number of requests that can be answered in time."""
+        return len(self._by_deadline)
 
     def add(self, waiter: Waiter) -> None:
-        """Let a request wait for its turn."""
+        """Add a request and assign its turn."""
         ask = waiter.ask
-        is_late = clock.now() >= waiter.in_time_until
-        moment = waiter.asked_at + ask.priority * _RANK_SECONDS
-        waiter.turn = Turn(is_late, moment, next(self._serials))
+        is_late = clock.now() >= waiter.place_deadline
+        due_at = waiter.asked_at + ask.priority * _PRIORITY_LEVEL_SECONDS
+        waiter.turn = Turn(is_late, due_at, next(self._serials))
         self._by_turn[waiter.turn] = waiter
         self._by_adapter.setdefault(ask.adapter, {})[waiter.turn] = waiter
         if not is_late:
-            self._by_limit[_limit_of(waiter)] = waiter
+            self._by_deadline[_deadline_key(waiter)] = waiter
 
-    def demote_late(self) -> list[Waiter]:
-        """Put those behind who can no longer be answered in time.
+    def demote_overdue(self) -> list[Waiter]:
+        """Move requests past their deadline behind all timely ones.
 
-        :returns: who they are
+        :returns: the moved requests
         """
-        moment = clock.now()
+        now = clock.now()
         overdue = []
-        while self._by_limit and self._by_limit.peekitem(0)[0] <= (moment,):
-            _limit, waiter = self._by_limit.peekitem(0)
+        while self._by_deadline and self._by_deadline.peekitem(0)[0] <= (now,):
+            _deadline, waiter = self._by_deadline.peekitem(0)
             self.remove(waiter)
             self.add(waiter)
             overdue.append(waiter)
         return overdue
 
     def remove(self, waiter: Waiter) -> bool:
-        """Let a request wait no more; tell whether it did."""
+        """Remove a request; return whether it was waiting."""
         if waiter not in self:
             return False
         del self._by_turn[waiter.turn]
         if not waiter.turn.is_late:
-            del self._by_limit[_limit_of(waiter)]
+            del self._by_deadline[_deadline_key(waiter)]
         same = self._by_adapter[waiter.ask.adapter]
         del same[waiter.turn]
         if not same:
@@ -146,26 +151,26 @@
         return True
 
     def ahead_of(self, waiter: Waiter) -> int:
-        """Count who goes before a waiting request."""
+        """Return the number of requests served before this one."""
         return self._by_turn.bisect_left(waiter.turn)
 
-    def first(self, most: int) -> list[Waiter]:
-        """Give those whose turn comes first."""
-        return list(itertools.islice(self._by_turn.values(), most))
+    def first(self, count: int) -> list[Waiter]:
+        """Return up to ``count`` requests with the earliest turns."""
+        return list(itertools.islice(self._by_turn.values(), count))
 
-    def last(self, most: int) -> list[Waiter]:
-        """Give those whose turn comes last, the very last first."""
-        turns = itertools.islice(reversed(self._by_turn), most)
+    def last(self, count: int) -> list[Waiter]:
+        """Return up to ``count`` requests with the latest turns, reversed."""
+        turns = itertools.islice(reversed(self._by_turn), count)
         return [self._by_turn[turn] for turn in turns]
 
     def of_adapter(self, name: AdapterId) -> list[Waiter]:
-        """Give those who wait for one adapter, in turn."""
+        """Return the requests that wait for an adapter, in turn."""
         return list(self._by_adapter.get(name, {}).values())
 
     def __iter__(self) -> Iterator[Waiter]:
-        """Go through everybody in turn."""
+        """Iterate over a copy of the waiting requests, in turn."""
         return iter(list(self._by_turn.values()))
 
 
-def _limit_of(waiter: Waiter) -> tuple[float, int]:
-    return (waiter.in_time_until, waiter.turn.serial)
+def _deadline_key(waiter: Waiter) -> tuple[float, int]:
+    return (waiter.place_deadline, waiter.turn.serial)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -20,30 +20,30 @@
         for number in range(8):
             hold(self.engine, f'a{number}', uses=1)
 
-    def judge(self, request, ahead=0):
+    def find_refusal(self, request, ahead=0):
         """Judge one request."""
-        return Admission().judge(request, Line(ahead), [self.engine])
+        return Admission().find_refusal(request, Line(ahead), [self.engine])
 
     def test_short_queue_is_waited_for(self):
-        self.assertIsNone(self.judge(ask('new')))
+        self.assertIsNone(self.find_refusal(ask('new')))
 
     def test_long_queue_is_not(self):
-        refusal = self.judge(ask('new'), ahead=40)
+        refusal = self.find_refusal(ask('new'), ahead=40)
         self.assertGreater(refusal.retry_after, 1)
 
     def test_engine_with_too_much_to_read(self):
         self.engine.prefill.add(0, 10)
-        refusal = self.judge(ask('new'))
+        refusal = self.find_refusal(ask('new'))
         self.assertGreater(refusal.retry_after, 5)
 
     def test_no_engine_at_all(self):
-        refusal = Admission().judge(ask('new'), Line(0), [])
+        refusal = Admission().find_refusal(ask('new'), Line(0), [])
         self.assertGreater(refusal.retry_after, 0)
 
     def test_model_that_no_engine_holds(self):
         """Guards against a caller that is told to come back in inf seconds."""
         self.engine.models.clear()
-        refusal = self.judge(ask('new'))
+        refusal = self.find_refusal(ask('new'))
         self.assertTrue(0 < refusal.retry_after < 10, refusal)
 
     def test_owner_that_may_not_load_yet_says_when(self):
@@ -53,9 +53,9 @@
         left, and were not told when to come back.
         """
         self.engine.chain.stands_down_until = self.moment + LEASE
-        refusal = self.judge(ask('new'))
+        refusal = self.find_refusal(ask('new'))
         self.assertGreaterEqual(refusal.retry_after, LEASE)
-        self.assertIsNone(self.judge(ask('a1')))
+        self.assertIsNone(self.find_refusal(ask('a1')))
 
     def test_waiting_uses_up_patience(self):
         """A caller has waited for two seconds when a place comes free.
@@ -64,9 +64,9 @@
         """
         waiter = Waiter(ask('new', patience=2.1), self.moment, self.moment)
         self.advance(2)
-        waiter.age()
+        waiter.update_times()
         self.assertAlmostEqual(waiter.ask.patience, 0.1)
-        self.assertIsNotNone(self.judge(waiter.ask))
+        self.assertIsNotNone(self.find_refusal(waiter.ask))
 
     def test_pause_of_loads_is_no_slow_queue(self):
         """Guards against refusing who could wait until loads begin again."""
@@ -76,8 +76,10 @@
         for _look in range(9):
             self.advance(0.1)
             line = Line(2, is_late=True)
-            refusal = admission.judge(ask('new', patience=2), line, engines)
+            refusal = admission.find_refusal(
+                ask('new', patience=2), line, engines
+            )
             self.assertIsNone(refusal)
         self.advance(0.15)
         line = Line(2, is_late=True)
-        self.assertIsNone(admission.judge(ask('new'), line, engines))
+        self.assertIsNone(admission.find_refusal(ask('new'), line, engines))
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -6,7 +6,7 @@
     KeptAdapters,
     LoadTimes,
     MeanSeconds,
-    Turnover,
+    PlaceInterval,
 )
 from flamingovalve.generated.ids import AdapterId
 from tests.rig.engines import hold, ledger
@@ -23,18 +23,18 @@
             name = AdapterId(f'a{number * 7 % 300}')
             presumed = name in kept
             if presumed and name in memory[-capacity:]:
-                kept.note_found(name)
+                kept.record_kept(name)
             elif presumed:
-                kept.note_missed(name)
+                kept.record_dropped(name)
             if name in memory:
                 memory.remove(name)
             memory.append(name)
-            kept.note_left(name)
+            kept.record_unload(name)
             if number % 3 == 0:
                 again = memory[-1 - number % min(200, len(memory))]
                 if again in kept:
                     found = again in memory[-capacity:]
-                    note = kept.note_found if found else kept.note_missed
+                    note = kept.record_kept if found else kept.record_dropped
                     note(again)
 
     def test_size_of_the_memory_is_found_out(self):
@@ -51,9 +51,9 @@
         the fetch takes, and failed after the last try.
         """
         engine = ledger()
-        engine.kept.note_left(AdapterId('a'))
+        engine.kept.record_unload(AdapterId('a'))
         held = hold(engine, 'a')
-        engine.note_load_begun(held)
+        engine.record_load_accepted(held)
         self.assertLess(held.ready_at - self.moment, 0.1)
         self.advance(0.03)
         engine.note_adapter_missing(AdapterId('a'))
@@ -75,11 +75,11 @@
     """How soon those who wait get a place."""
 
     def test_rate_is_learnt(self):
-        turnover = Turnover()
+        turnover = PlaceInterval()
         for _place in range(40):
             self.advance(0.02)
-            turnover.note_place()
-        each = turnover.seconds_each(1, is_waited_for=True)
+            turnover.record_place()
+        each = turnover.expected_seconds(1, has_waiting_requests=True)
         self.assertAlmostEqual(each, 0.02, delta=0.004)
 
     def test_standstill_shows(self):
@@ -87,12 +87,12 @@
 
         Going by what was seen before, requests were let wait in vain.
         """
-        turnover = Turnover()
+        turnover = PlaceInterval()
         for _place in range(40):
             self.advance(0.02)
-            turnover.note_place()
+            turnover.record_place()
         self.advance(5)
-        each = turnover.seconds_each(1, is_waited_for=True)
+        each = turnover.expected_seconds(1, has_waiting_requests=True)
         self.assertGreater(each, 3)
 
     def test_idle_time_is_no_standstill(self):
@@ -101,14 +101,18 @@
         Taken for a standstill, the quiet time had the first of a burst count
         as late, and a group that was idle look slower than a busy one.
         """
-        turnover = Turnover()
+        turnover = PlaceInterval()
         for _place in range(40):
             self.advance(0.02)
-            turnover.note_place()
+            turnover.record_place()
         self.advance(30)
-        self.assertLess(turnover.seconds_each(1, is_waited_for=False), 0.1)
+        self.assertLess(
+            turnover.expected_seconds(1, has_waiting_requests=False), 0.1
+        )
         turnover.restart()
-        self.assertLess(turnover.seconds_each(1, is_waited_for=True), 0.1)
+        self.assertLess(
+            turnover.expected_seconds(1, has_waiting_requests=True), 0.1
+        )
 
 
 class TestLoadTimes(TimedTestCase):
@@ -123,9 +127,9 @@
             load = loads.expected(is_kept=False)
             taken = seconds * max(1, under_way / full_speed)
             if load.ready_at - self.moment >= taken:
-                loads.note_hit(load)
+                loads.record_hit(load)
             else:
-                loads.note_miss(load)
+                loads.record_miss(load)
                 missed += 1
         loads.under_way = under_way - 1
         load = loads.expected(is_kept=False)
