--- a/tests/rig/engines.py
+++ b/tests/rig/engines.py
@@ -1,4 +1,4 @@
-"""Engines and requests as the gateway's decisions see them."""
+"""Builders of engines, requests and reports for gateway tests."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def upstream(name: str, domain: str = 'east') -> Upstream:
-    """Give an engine that takes requests."""
+    """Return an engine that accepts requests."""
     return Upstream(
         UpstreamId(name),
         ServiceId('engines'),
@@ -44,7 +44,7 @@
 
 
 def ledger(name: str = 'engine-0', *resident: str) -> EngineLedger:
-    """Give an engine that holds the base model and ``resident`` adapters."""
+    """Return an engine with the base model and ``resident`` adapters."""
     settings = GatewaySettings()
     chain = OrderChain(settings.lease_seconds, settings.report_lag_seconds, 0)
     chain.sequence = 0
@@ -61,14 +61,14 @@
     state: Holding = Holding.RESIDENT,
     uses: int = 0,
 ) -> HeldAdapter:
-    """Let an engine hold an adapter."""
+    """Add an adapter to an engine."""
     held = HeldAdapter(AdapterId(name), 1, state, uses)
     engine.held[held.name] = held
     return held
 
 
 def ask(adapter: str = '', number: int = 0, **changes: object) -> PlaceAsk:
-    """Give a request for a place."""
+    """Return a request for a place."""
     made = PlaceAsk(
         RequestId(f'request-{number}'),
         GroupId('engines'),
@@ -89,6 +89,6 @@
 
 
 def report(sequence: int, *resident: str, born: int = 1) -> EngineReport:
-    """Give what an engine says of itself."""
+    """Return a report of an engine."""
     adapters = {AdapterId(name): 1 for name in resident}
     return EngineReport(sequence, born, [MODEL], adapters, [])
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Which waiting requests are refused, and when they should come back."""
+"""Tests of the refusal of waiting requests and of their retry times."""
 
 from __future__ import annotations
 
@@ -11,56 +11,57 @@
 
 
 class TestAdmission(TimedTestCase):
-    """One request that waits, some engines."""
+    """Refusal of one waiting request."""
 
     def setUp(self) -> None:
-        """Start with an engine whose places are all taken."""
+        """Start with an engine whose adapters are all in use."""
         super().setUp()
         self.engine = ledger('engine-0')
         for number in range(8):
             hold(self.engine, f'a{number}', uses=1)
 
     def find_refusal(self, request, ahead=0):
-        """Judge one request."""
+        """Return the refusal of one request, if any."""
         return Admission().find_refusal(request, Line(ahead), [self.engine])
 
-    def test_short_queue_is_waited_for(self):
+    def test_short_queue_is_accepted(self):
         self.assertIsNone(self.find_refusal(ask('new')))
 
-    def test_long_queue_is_not(self):
+    def test_long_queue_is_refused(self):
         refusal = self.find_refusal(ask('new'), ahead=40)
         self.assertGreater(refusal.retry_after, 1)
 
-    def test_engine_with_too_much_to_read(self):
+    def test_long_prefill_backlog_is_refused(self):
         self.engine.prefill.add(0, 10)
         refusal = self.find_refusal(ask('new'))
         self.assertGreater(refusal.retry_after, 5)
 
-    def test_no_engine_at_all(self):
+    def test_group_without_engines_is_refused(self):
         refusal = Admission().find_refusal(ask('new'), Line(0), [])
         self.assertGreater(refusal.retry_after, 0)
 
-    def test_model_that_no_engine_holds(self):
-        """Guards against a caller that is told to come back in inf seconds."""
+    def test_model_without_engine_has_finite_retry_time(self):
+        """Guards against an infinite retry time."""
         self.engine.models.clear()
         refusal = self.find_refusal(ask('new'))
         self.assertTrue(0 < refusal.retry_after < 10, refusal)
 
-    def test_owner_that_may_not_load_yet_says_when(self):
-        """All processes ended, and the new owner orders nothing for a lease.
+    def test_retry_time_covers_pause_of_orders(self):
+        """Guards against waiting for an owner that may not order loads yet.
 
-        Callers of adapters that no engine holds waited for it until they
-        left, and were not told when to come back.
+        A new owner sends no orders for one lease. Callers of adapters that no
+        engine holds waited until they disconnected, without a retry time.
         """
         self.engine.chain.stands_down_until = self.moment + LEASE
         refusal = self.find_refusal(ask('new'))
         self.assertGreaterEqual(refusal.retry_after, LEASE)
         self.assertIsNone(self.find_refusal(ask('a1')))
 
-    def test_waiting_uses_up_patience(self):
-        """A caller has waited for two seconds when a place comes free.
+    def test_waiting_reduces_patience(self):
+        """Guards against ignoring the time that a request has waited.
 
-        It got the place and left before its first event.
+        A request got a place after two seconds, and its caller disconnected
+        before the first event.
         """
         waiter = Waiter(ask('new', patience=2.1), self.moment, self.moment)
         self.advance(2)
@@ -68,18 +69,18 @@
         self.assertAlmostEqual(waiter.ask.patience, 0.1)
         self.assertIsNotNone(self.find_refusal(waiter.ask))
 
-    def test_pause_of_loads_is_no_slow_queue(self):
-        """Guards against refusing who could wait until loads begin again."""
+    def test_pause_of_loads_is_not_a_slow_queue(self):
+        """Guards against refusals while loads are only paused."""
         admission = Admission()
         engines = [self.engine]
         self.engine.chain.stands_down_until = self.moment + 1
-        for _look in range(9):
+        for _check in range(9):
             self.advance(0.1)
-            line = Line(2, is_late=True)
+            position = Line(2, is_late=True)
             refusal = admission.find_refusal(
-                ask('new', patience=2), line, engines
+                ask('new', patience=2), position, engines
             )
             self.assertIsNone(refusal)
         self.advance(0.15)
-        line = Line(2, is_late=True)
-        self.assertIsNone(admission.find_refusal(ask('new'), line, engines))
+        position = Line(2, is_late=True)
+        self.assertIsNone(admission.find_refusal(ask('new'), position, engines))
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Which engine a request gets, and what makes room for its adapter."""
+"""Tests of the choice of an engine and of an eviction victim."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class TestChoice(TimedTestCase):
-    """One request, some engines."""
+    """Choice of an engine for one request."""
 
     def setUp(self) -> None:
-        """Start with nothing asked for."""
+        """Start without request rates."""
         super().setUp()
         self.popularity = Popularity()
 
@@ -24,7 +24,7 @@
         """Choose among ``engines``."""
         return dispatch.choose(request, engines, self.popularity, version)
 
-    def test_holder_goes_first(self):
+    def test_holder_is_preferred(self):
         other, holder = ledger('engine-0'), ledger('engine-1', 'a')
         choice = self.choose(ask('a'), other, holder)
         self.assertIs(choice.engine, holder)
@@ -37,28 +37,28 @@
         self.assertIs(choice.engine, other)
         self.assertTrue(choice.load)
 
-    def test_kept_copy_spares_fetch(self):
-        other, before = ledger('engine-0'), ledger('engine-1', 'a')
-        before.forget(AdapterId('a'))
-        choice = self.choose(ask('a'), other, before)
-        self.assertIs(choice.engine, before)
+    def test_kept_adapter_avoids_fetch(self):
+        other, previous = ledger('engine-0'), ledger('engine-1', 'a')
+        previous.forget(AdapterId('a'))
+        choice = self.choose(ask('a'), other, previous)
+        self.assertIs(choice.engine, previous)
 
     def test_long_prompt_of_a_cold_adapter_stays_in_its_group(self):
-        """Guards against adapters that are loaded in every group in turn."""
+        """Guards against declining an adapter in every group in turn."""
         request = ask('a', prompt_tokens=9000)
         engine = ledger()
         request.target = engine.prefill_seconds(request)
         self.assertTrue(dispatch.is_good(request, self.choose(request, engine)))
 
-    def test_queue_of_others_is_a_reason_to_decline(self):
-        """Guards against waiting behind others beside an idle group."""
+    def test_queue_of_other_requests_is_a_reason_to_decline(self):
+        """Guards against queueing while another group is idle."""
         request = ask('a')
         engine = ledger('engine-0', 'a')
         engine.prefill.add(0, 0.8 * request.target)
         choice = self.choose(request, engine)
         self.assertFalse(dispatch.is_good(request, choice))
 
-    def test_rarest_idle_adapter_makes_room(self):
+    def test_least_requested_idle_adapter_is_evicted(self):
         engine = ledger('engine-0', *(f'a{n}' for n in range(SLOTS)))
         engine.held[AdapterId('a0')].uses = 1
         for number in range(2, SLOTS):
@@ -66,8 +66,8 @@
         choice = self.choose(ask('new'), engine)
         self.assertEqual(choice.victim.name, 'a1')
 
-    def test_adapter_that_nobody_has_seen_yet_stays(self):
-        """Guards against the unload of an adapter that is on its way."""
+    def test_unconfirmed_adapter_is_not_evicted(self):
+        """Guards against the eviction of an adapter that is still loading."""
         engine = ledger('engine-0', *(f'a{n}' for n in range(SLOTS)))
         for held in engine.held.values():
             held.is_seen = False
@@ -75,17 +75,17 @@
         engine.note_adapter_present(AdapterId('a3'))
         self.assertEqual(self.choose(ask('new'), engine).victim.name, 'a3')
 
-    def test_adapter_in_use_stays(self):
+    def test_adapter_in_use_is_not_evicted(self):
         engine = ledger('engine-0')
         for number in range(SLOTS):
             hold(engine, f'a{number}', uses=1)
         self.assertIsNone(self.choose(ask('new'), engine))
 
-    def test_leaving_adapter_is_not_loaded_beside_its_unload(self):
-        """An adapter's unload is under way when a request asks for it.
+    def test_adapter_is_not_loaded_during_its_unload(self):
+        """Guards against loading an adapter while its unload is in progress.
 
-        A load ordered now was forgotten together with the unload, one more
-        load followed, and the engine crashed with all that it ran.
+        The end of the unload also removed the new load from the ledger. One
+        more load followed, and the engine crashed with all its requests.
         """
         engine = ledger('engine-0', *(f'a{n}' for n in range(SLOTS - 1)))
         hold(engine, 'going', Holding.GOING)
@@ -97,16 +97,17 @@
         self.assertTrue(choice.load)
         self.assertIsNone(choice.victim)
 
-    def test_old_version_in_use_is_waited_for(self):
+    def test_old_version_in_use_is_not_replaced(self):
         engine = ledger('engine-0', 'a')
         engine.held[AdapterId('a')].uses = 1
         self.assertIsNone(self.choose(ask('a'), engine, version=2))
 
-    def test_engines_that_all_fail_in_part_go_on_serving(self):
-        """Every engine fails four requests in ten for some seconds.
+    def test_engines_with_partial_failures_go_on_serving(self):
+        """Guards against pausing engines that fail only some requests.
 
-        Each was left alone after a failure, longer each time, so half of the
-        requests that would have been served were refused for want of places.
+        While every engine failed four requests in ten, each failure paused an
+        engine, longer each time. Half of the requests that could have been
+        served were refused because no place was left.
         """
         engines = [ledger(f'engine-{n}', 'a') for n in range(3)]
         served = 0
@@ -120,18 +121,18 @@
         self.assertTrue(all(engine.is_usable() for engine in engines))
         self.assertEqual(served, 36)
 
-    def test_engine_that_fails_more_gets_less(self):
-        poor, good = ledger('engine-0', 'a'), ledger('engine-1', 'a')
+    def test_engine_with_fewer_failures_is_preferred(self):
+        failing, healthy = ledger('engine-0', 'a'), ledger('engine-1', 'a')
         for _request in range(5):
-            poor.note_verdict(failed=True)
-        choice = self.choose(ask('a'), poor, good)
-        self.assertIs(choice.engine, good)
+            failing.note_verdict(failed=True)
+        choice = self.choose(ask('a'), failing, healthy)
+        self.assertIs(choice.engine, healthy)
 
-    def test_fresh_engine_is_not_flooded(self):
-        """An engine comes in while the others have no place left.
+    def test_new_engine_is_not_overloaded(self):
+        """Guards against assigning all long prompts to a new engine.
 
-        It was given every review that came, and had so much to read that no
-        caller waited for its first event.
+        An engine was added while the others had no place left. It got every
+        long prompt, and its prefill backlog exceeded every caller's patience.
         """
         fresh = ledger('engine-0')
         granted = 0
@@ -150,16 +151,17 @@
         self.assertGreater(granted, 3)
         self.assertLess(granted, 9)
 
-    def test_question_avoids_the_engine_that_reads_a_long_document(self):
-        """An engine has begun to read a long prompt of a less urgent kind.
+    def test_short_prompt_avoids_engine_with_long_prefill(self):
+        """Guards against queueing a short prompt after a long prefill.
 
-        It finishes that first. A short urgent question sent there waited
-        behind it for half a second, while another engine was free.
+        An engine finishes a long prefill that it has begun, even of a less
+        urgent request. A short urgent request sent there waited for half a
+        second while another engine was idle.
         """
-        reads, free = ledger('engine-0', 'a'), ledger('engine-1', 'a')
-        reads.take(ask('a', 1, prompt_tokens=30_000, parts=[], priority=2))
+        busy, idle = ledger('engine-0', 'a'), ledger('engine-1', 'a')
+        busy.take(ask('a', 1, prompt_tokens=30_000, parts=[], priority=2))
         question = ask('a', 2, prompt_tokens=500, parts=[], priority=0)
-        self.assertIs(self.choose(question, reads, free).engine, free)
+        self.assertIs(self.choose(question, busy, idle).engine, idle)
 
     def test_full_batch_takes_no_more(self):
         engine = ledger('engine-0', 'a')
@@ -167,26 +169,26 @@
             engine.take(ask('a', number))
         self.assertIsNone(self.choose(ask('a', 999), engine))
 
-    def test_engine_without_the_model_is_left_out(self):
+    def test_engine_without_the_model_is_not_chosen(self):
         engine = ledger('engine-0')
         engine.models.clear()
         self.assertIsNone(self.choose(ask(), engine))
 
 
 class TestModels(TimedTestCase):
-    """Which model an empty engine loads."""
+    """Choice of the model that an empty engine loads."""
 
-    def test_only_model(self):
+    def test_only_model_is_chosen(self):
         empty = ledger('engine-0')
         empty.models.clear()
         chosen = dispatch.model_in_demand([empty, ledger('engine-1')], {})
         self.assertEqual(chosen, 'base')
 
     def test_one_model_is_fetched_at_a_time(self):
-        """Two engines are replaced together and begin empty.
+        """Guards against concurrent model fetches by replaced engines.
 
-        Both fetched the model from the store at once, so neither served for
-        twice as long as one fetch takes.
+        Two engines that were replaced together fetched the model from the
+        store at once, so neither served for twice the time of one fetch.
         """
         first, second = ledger('engine-0'), ledger('engine-1')
         for engine in (first, second):
@@ -198,50 +200,51 @@
         first.models.add(MODEL)
         self.assertFalse(dispatch.is_fetching([first, second]))
 
-    def test_model_from_disk_holds_up_nobody(self):
+    def test_model_from_disk_does_not_count_as_fetch(self):
         engine = ledger('engine-0')
         engine.models.clear()
         engine.model_ready_at = self.moment + 2
         self.assertFalse(dispatch.is_fetching([engine]))
 
-    def test_no_engine(self):
+    def test_no_engine_needs_no_model(self):
         self.assertEqual(dispatch.model_in_demand([], {}), ModelId(''))
 
 
 class TestLedger(TimedTestCase):
-    """What an owner believes of an engine."""
+    """The state of an engine that its owner keeps."""
 
-    def test_shared_parts_are_read_once(self):
+    def test_shared_parts_are_prefilled_once(self):
         engine = ledger('engine-0', 'a')
         first = engine.prefill_seconds(ask('a'))
         engine.take(ask('a'))
         self.assertLess(engine.prefill_seconds(ask('a', 1)), first / 2)
         self.assertEqual(engine.prefill_seconds(ask('b', 2)), first)
 
-    def test_place_is_given_back_once(self):
+    def test_repeated_release_counts_once(self):
         engine = ledger('engine-0', 'a')
         place = engine.take(ask('a'))
         engine.give_back(place)
         engine.give_back(place)
         self.assertEqual(engine.held[AdapterId('a')].uses, 0)
 
-    def test_old_report_is_not_taken_for_the_new_version(self):
-        """A report shows the version that is just being replaced.
+    def test_report_of_old_version_does_not_complete_the_load(self):
+        """Guards against mistaking the replaced version for the new one.
 
-        Taken for the new one, requests named the old version and the engine
-        refused them.
+        A report showed the version that was being replaced. Requests then
+        named the old version and the engine refused them.
         """
         engine = ledger('engine-0')
-        coming = hold(engine, 'a', Holding.COMING)
-        coming.version = 2
+        loading = hold(engine, 'a', Holding.COMING)
+        loading.version = 2
         engine.adopt(report(0, 'a'))
-        self.assertIs(coming.state, Holding.COMING)
-        self.assertEqual(coming.version, 2)
+        self.assertIs(loading.state, Holding.COMING)
+        self.assertEqual(loading.version, 2)
 
-    def test_place_that_is_told_twice_counts_once(self):
-        """A VM tells a new owner of one place twice.
+    def test_place_reported_twice_counts_once(self):
+        """Guards against counting a place that is reported twice as two.
 
-        Given back once, its adapter counted as in use for ever.
+        A VM reported one place twice to a new owner. After its release the
+        adapter still counted as in use.
         """
         engine = ledger('engine-0', 'a')
         first = engine.take(ask('a'))
@@ -251,11 +254,12 @@
         self.assertEqual(engine.held[AdapterId('a')].uses, 0)
         self.assertFalse(engine.places)
 
-    def test_load_that_waits_for_its_turn_keeps_its_slot(self):
-        """Orders to an engine take long, and a load waits behind others.
+    def test_queued_load_keeps_its_slot(self):
+        """Guards against forgetting a load whose order is still queued.
 
-        Reports do not show it yet. Forgotten for that, its slot was given
-        to one more adapter, and the engine crashed when both had come.
+        Orders to an engine can be slow, and reports do not show a queued load.
+        Its slot was given to one more adapter, and the engine crashed when
+        both were loaded.
         """
         engine = ledger('engine-0')
         waiting = hold(engine, 'a', Holding.COMING)
@@ -267,7 +271,7 @@
         engine.adopt(report(0))
         self.assertNotIn(AdapterId('a'), engine.held)
 
-    def test_slots_leave_room_for_weights(self):
+    def test_slots_fit_beside_model_weights(self):
         engine = ledger('engine-0')
         self.assertEqual(engine.slots(), SLOTS)
         engine.models.clear()
--- a/tests/test_fallback_placement.py
+++ b/tests/test_fallback_placement.py
@@ -1,4 +1,4 @@
-"""Completions while no VM gives out places."""
+"""Tests of places for completions while a group has no owner."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
 
 
 class ReportingEngine:
-    """An engine that says what it holds."""
+    """An engine that reports its adapters and counts the reports."""
 
     def __init__(self, *resident):
-        """Hold ``resident``."""
+        """Hold the adapters ``resident``."""
         self.resident = resident
         self.asked = 0
 
     async def report(self):
-        """Say what is held."""
+        """Return a report of the adapters."""
         self.asked += 1
         return report(0, *self.resident)
 
 
 class Request:
-    """A request that was sent nowhere yet."""
+    """A request without earlier attempts."""
 
     id = 'one'
     service = SERVICE
 
     def __init__(self, refused_by=()):
-        """Note who did not run it."""
+        """Set the upstreams that refused the request."""
         self.tried = []
         self.refused_by = list(refused_by)
 
 
-class TestUnowned(TimedTestCase):
-    """Two engines, one of which holds the adapter."""
+class TestFallbackPlacement(TimedTestCase):
+    """Places on two engines without an owner."""
 
     def setUp(self):
-        """List the engines."""
+        """Add two engines to the catalogue."""
         super().setUp()
         self.engines = {
             'engine-0': ReportingEngine('a'),
@@ -67,15 +67,15 @@
         return curio.run(self.places.take, Request(**changes), ask(name))
 
     def test_engine_that_holds_the_adapter_serves_it(self):
-        """All VMs have just started, and none owns the engines yet.
+        """Guards against waiting for an owner of a loaded adapter.
 
-        Every completion waited for an owner until it was late, though most
-        of the adapters were in place.
+        All VMs had just started and none owned the engines. Every completion
+        waited until it was late, although most adapters were loaded.
         """
         self.assertEqual(self.take('b').grant.upstream, 'engine-1')
         self.assertIsNone(self.take('elsewhere'))
 
-    def test_places_spread_and_end(self):
+    def test_places_are_balanced_and_released(self):
         names = [self.take('a').grant.upstream for _place in range(4)]
         self.assertEqual(names.count('engine-0'), 2)
         while (lease := self.take('a')) is not None:
@@ -83,17 +83,17 @@
         curio.run(last.end, PlaceOutcome.FINISHED, 0.1)
         self.assertIsNotNone(self.take('a'))
 
-    def test_engine_that_refused_is_not_tried_again(self):
+    def test_engine_that_refused_is_not_retried(self):
         lease = self.take('a', refused_by=['engine-0'])
         self.assertEqual(lease.grant.upstream, 'engine-1')
         self.assertIsNone(self.take('b', refused_by=['engine-1']))
 
-    def test_reports_are_not_asked_for_by_each_request(self):
+    def test_reports_are_cached(self):
         for _request in range(10):
             self.take('a')
         self.assertEqual(self.engines['engine-0'].asked, 1)
 
     def test_older_version_is_not_used(self):
-        """A new version was announced, and an engine still has the old one."""
+        """An engine still holds the old version after an announced update."""
         self.engines['engine-0'].resident = ('new',)
         self.assertIsNone(self.take('new'))
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -1,4 +1,4 @@
-"""What owners learn of engines, whatever the first guess was."""
+"""Tests of estimates that converge from any initial estimate."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class TestKeptAdapters(TimedTestCase):
-    """An engine that keeps some adapters at hand after their unload."""
+    """An engine that keeps some adapters in memory after their unload."""
 
-    def play(self, kept, capacity):
-        """Load adapters in turn from an engine that keeps ``capacity``."""
+    def simulate(self, kept, capacity):
+        """Simulate loads on an engine that keeps ``capacity`` adapters."""
         memory = []
         for number in range(4000):
             name = AdapterId(f'a{number * 7 % 300}')
-            presumed = name in kept
-            if presumed and name in memory[-capacity:]:
+            is_expected = name in kept
+            if is_expected and name in memory[-capacity:]:
                 kept.record_kept(name)
-            elif presumed:
+            elif is_expected:
                 kept.record_dropped(name)
             if name in memory:
                 memory.remove(name)
@@ -37,18 +37,19 @@
                     note = kept.record_kept if found else kept.record_dropped
                     note(again)
 
-    def test_size_of_the_memory_is_found_out(self):
+    def test_capacity_is_estimated(self):
         for capacity in (10, 108):
             kept = KeptAdapters()
-            self.play(kept, capacity)
+            self.simulate(kept, capacity)
             self.assertGreater(kept.capacity, 0.7 * capacity)
             self.assertLess(kept.capacity, 1.3 * capacity)
 
-    def test_request_refused_for_want_of_its_adapter_waits_for_the_fetch(self):
-        """An engine has dropped an adapter that it was thought to keep.
+    def test_missing_adapter_is_awaited_for_a_fetch(self):
+        """Guards against retries that end before a fetch can complete.
 
-        The request was sent again and again within a tenth of the time that
-        the fetch takes, and failed after the last try.
+        An engine had dropped an adapter that was assumed to be kept. The
+        request used all its attempts within a tenth of the fetch time and
+        failed.
         """
         engine = ledger()
         engine.kept.record_unload(AdapterId('a'))
@@ -60,10 +61,10 @@
         self.assertGreater(held.ready_at - self.moment, 0.2)
 
 
-class TestHold(TimedTestCase):
-    """Services whose requests take very different times."""
+class TestMeanSeconds(TimedTestCase):
+    """Services with requests of very different durations."""
 
-    def test_time_is_learnt_within_a_fifth(self):
+    def test_mean_converges_within_a_fifth(self):
         for seconds in (0.05, 0.4, 5.0):
             holds = MeanSeconds(1)
             for _request in range(40):
@@ -71,62 +72,66 @@
             self.assertAlmostEqual(holds.mean, seconds, delta=seconds / 5)
 
 
-class TestTurnover(TimedTestCase):
-    """How soon those who wait get a place."""
+class TestPlaceInterval(TimedTestCase):
+    """Interval between places granted to waiting requests."""
 
-    def test_rate_is_learnt(self):
-        turnover = PlaceInterval()
+    def test_interval_is_estimated(self):
+        place_interval = PlaceInterval()
         for _place in range(40):
             self.advance(0.02)
-            turnover.record_place()
-        each = turnover.expected_seconds(1, has_waiting_requests=True)
-        self.assertAlmostEqual(each, 0.02, delta=0.004)
+            place_interval.record_place()
+        interval = place_interval.expected_seconds(1, has_waiting_requests=True)
+        self.assertAlmostEqual(interval, 0.02, delta=0.004)
 
-    def test_standstill_shows(self):
-        """No place has come free for seconds.
+    def test_stall_extends_the_interval(self):
+        """Guards against estimates that ignore a current stall.
 
-        Going by what was seen before, requests were let wait in vain.
+        No place came free for seconds. Judged by earlier intervals, requests
+        were left to wait in vain.
         """
-        turnover = PlaceInterval()
+        place_interval = PlaceInterval()
         for _place in range(40):
             self.advance(0.02)
-            turnover.record_place()
+            place_interval.record_place()
         self.advance(5)
-        each = turnover.expected_seconds(1, has_waiting_requests=True)
-        self.assertGreater(each, 3)
+        interval = place_interval.expected_seconds(1, has_waiting_requests=True)
+        self.assertGreater(interval, 3)
 
-    def test_idle_time_is_no_standstill(self):
-        """Nobody has waited for a while, then a request finds all taken.
+    def test_idle_time_is_not_a_stall(self):
+        """Guards against counting idle time as a stall.
 
-        Taken for a standstill, the quiet time had the first of a burst count
-        as late, and a group that was idle look slower than a busy one.
+        After a time without waiting requests, the first of a burst counted as
+        late, and an idle group looked slower than a busy one.
         """
-        turnover = PlaceInterval()
+        place_interval = PlaceInterval()
         for _place in range(40):
             self.advance(0.02)
-            turnover.record_place()
+            place_interval.record_place()
         self.advance(30)
         self.assertLess(
-            turnover.expected_seconds(1, has_waiting_requests=False), 0.1
+            place_interval.expected_seconds(1, has_waiting_requests=False), 0.1
         )
-        turnover.restart()
+        place_interval.restart()
         self.assertLess(
-            turnover.expected_seconds(1, has_waiting_requests=True), 0.1
+            place_interval.expected_seconds(1, has_waiting_requests=True), 0.1
         )
 
 
 class TestLoadTimes(TimedTestCase):
-    """Weight stores of different speeds."""
+    """Load times of weight stores of different speeds."""
 
-    def play(self, seconds, full_speed, under_way):
-        """Load from a store for a while; give what is then expected."""
+    def simulate(self, seconds, full_speed, under_way):
+        """Simulate loads from a store.
+
+        :returns: expected seconds of the next load, and the late loads
+        """
         loads = LoadTimes()
         missed = 0
         for _load in range(400):
             loads.under_way = under_way - 1
             load = loads.expected(is_kept=False)
-            taken = seconds * max(1, under_way / full_speed)
-            if load.ready_at - self.moment >= taken:
+            load_seconds = seconds * max(1, under_way / full_speed)
+            if load.ready_at - self.moment >= load_seconds:
                 loads.record_hit(load)
             else:
                 loads.record_miss(load)
@@ -135,21 +140,22 @@
         load = loads.expected(is_kept=False)
         return load.ready_at - self.moment, missed
 
-    def test_store_that_serves_many_at_once(self):
-        """A store serves three times as many loads at full speed as guessed.
+    def test_store_with_more_full_speed_loads(self):
+        """Guards against an estimate that stays below the store's capacity.
 
-        Each load was waited for three times as long as it took, and as an
-        engine takes four at once, its idle slots stayed empty meanwhile.
+        A store served three times as many loads at full speed as initially
+        estimated. Requests waited three times as long as a load took. As an
+        engine allows four concurrent loads, its free slots stayed empty.
         """
-        expected, missed = self.play(0.25, 24, 24)
+        expected, missed = self.simulate(0.25, 24, 24)
         self.assertLess(expected, 0.25 * 1.2)
         self.assertLess(missed, 40)
 
-    def test_store_that_is_slower_than_guessed(self):
-        expected, _missed = self.play(1.0, 24, 2)
+    def test_store_slower_than_initial_estimate(self):
+        expected, _missed = self.simulate(1.0, 24, 2)
         self.assertAlmostEqual(expected, 1.0, delta=0.2)
 
-    def test_store_that_serves_few_at_once(self):
-        expected, missed = self.play(0.25, 4, 20)
+    def test_store_with_fewer_full_speed_loads(self):
+        expected, missed = self.simulate(0.25, 4, 20)
         self.assertAlmostEqual(expected, 1.25, delta=0.25)
         self.assertLess(missed, 60)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Whole daemons under more load than the engines serve."""
+"""Tests of whole daemons under overload."""
 
 from __future__ import annotations
 
@@ -6,59 +6,62 @@
 
 from tests.rig.site import Site
 
-# Each request asks for an adapter of its own, so each needs a slot for the
-# time of a load and of its answer: some ten a second with four slots.
-PEAK_A_SECOND = 12
+# Each request uses another adapter, so each occupies a slot for a load and its
+# answer: about ten requests per second with four slots.
+PEAK_REQUESTS_PER_SECOND = 12
 SECONDS = 6
-OVERLOADS = (2, 5, 10)
+OVERLOAD_FACTORS = (2, 5, 10)
 GOODPUT_SHARE = 0.9
-BACK_SECONDS = 2
+RECOVERY_SECONDS = 2
 TARGET_SECONDS = 1.0
 
 
 class TestOverload(unittest.TestCase):
-    """A load that exceeds the engines for seconds and is taken away."""
+    """Load beyond the capacity of the engines for some seconds."""
 
     def setUp(self) -> None:
-        """Start three VMs before two engines of two slots each."""
+        """Start three VMs and two engines of two slots each."""
         self.site = Site.started()
         self.addCleanup(self.site.close)
         self.asked = 0
 
-    def play(self, a_second):
-        """Ask as often for some seconds; count what came in time."""
+    def count_served(self, rate):
+        """Send requests for some seconds.
+
+        :returns: number of requests that were served
+        """
         tasks = []
-        for _request in range(a_second * SECONDS):
+        for _request in range(rate * SECONDS):
             self.asked += 1
             call = self.site.chat(f'a{self.asked}')
             tasks.append(self.site.begin(f'vm-{self.asked % 3}', call))
-            self.site.world.advance(1 / a_second)
+            self.site.world.advance(1 / rate)
         answers = [self.site.wait(task) for task in tasks]
         self.assertEqual({one.status for one in answers} - {200, 503}, set())
         return sum(one.status == 200 for one in answers)
 
     def test_goodput_holds(self):
-        """Twice, five and ten times as many requests come as can be served.
+        """Guards against goodput collapse at 2, 5 and 10 times the capacity.
 
-        Those who could wait for a place must not push out those who get
-        one: as many are to be served as at the peak, and the next request
-        after the load finds the engines as before. What deciding costs the
-        processor stands still on this clock; test_owner counts that.
+        Waiting requests must not displace requests that get a place: as many
+        are served as at the peak, and the next request after the overload is
+        served. The simulated clock does not include the processor time of
+        decisions; test_owner measures that.
         """
-        peak = self.play(PEAK_A_SECOND)
+        peak = self.count_served(PEAK_REQUESTS_PER_SECOND)
         self.assertGreater(peak, 0)
-        for times in OVERLOADS:
-            served = self.play(times * PEAK_A_SECOND)
-            self.assertGreaterEqual(served, GOODPUT_SHARE * peak, times)
-            self.site.world.advance(BACK_SECONDS)
-            after = self.site.send('vm-0', self.site.chat(f'after-{times}'))
+        for factor in OVERLOAD_FACTORS:
+            served = self.count_served(factor * PEAK_REQUESTS_PER_SECOND)
+            self.assertGreaterEqual(served, GOODPUT_SHARE * peak, factor)
+            self.site.world.advance(RECOVERY_SECONDS)
+            after = self.site.send('vm-0', self.site.chat(f'after-{factor}'))
             self.assertEqual(after.status, 200)
 
-    def test_refusals_come_at_once_and_say_when(self):
-        """Most of a burst cannot be served.
+    def test_refusals_are_immediate_with_retry_time(self):
+        """Guards against waits that end in a refusal.
 
-        Its callers hear so at once, with a time after which to come back, so
-        that nobody waits in vain.
+        Most of a burst cannot be served. Those requests are refused at once
+        with a retry time.
         """
         tasks = [
             self.site.begin(f'vm-{n % 3}', self.site.chat(f'a{n}'))
@@ -72,5 +75,5 @@
         ]
         self.assertGreater(len(refused), 90)
         for answer in refused:
-            pause = dict(answer.headers)['retry-after']
-            self.assertGreater(float(pause), 0)
+            retry_after = dict(answer.headers)['retry-after']
+            self.assertGreater(float(retry_after), 0)
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -1,4 +1,4 @@
-"""How the engines of a service are divided, and whom a request asks."""
+"""Tests of the division of engines into groups and the search for places."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def catalogue_of(count: int) -> Catalogue:
-    """Give a list of ``count`` engines."""
+    """Return a catalogue with ``count`` engines."""
     made = Catalogue(lambda document: document)
     for number in range(count):
         made._take_upstream(upstream(f'engine-{number}'))
@@ -32,16 +32,17 @@
 
 
 class TestDivision(TimedTestCase):
-    """How many groups there are, and who is in which."""
+    """Number of groups and assignment of engines to them."""
 
-    def test_small_services_have_one_owner(self):
+    def test_small_services_have_one_group(self):
         self.assertEqual({shards.group_count(n) for n in range(13)}, {1})
 
-    def test_loss_of_a_domain_changes_nothing(self):
-        """A quarter of 70 engines is lost, or a third as many are added.
+    def test_loss_of_a_failure_domain_keeps_the_division(self):
+        """Guards against a new division after a moderate change.
 
-        A new division would move engines between owners, and each that
-        moves gets no order for a lease.
+        A quarter of 70 engines is lost, or a third as many are added. A new
+        division would move engines to other owners, and an engine that moves
+        gets no orders for one lease.
         """
         counts = {shards.group_count(n) for n in range(52, 100)}
         self.assertEqual(counts, {8})
@@ -62,11 +63,12 @@
         self.assertEqual(len(set(names)), 70)
         self.assertEqual(len(names), 70)
 
-    def test_short_dip_of_the_list_changes_nothing(self):
-        """The store drops most entries for a second and has them back.
+    def test_short_loss_of_entries_keeps_the_division(self):
+        """Guards against a new division during a short loss of entries.
 
-        VMs hear of it at different moments; those that had divided anew
-        would own engines that others still order.
+        The store lost most entries for a second. VMs see such changes at
+        different times; those with a new division would own engines to which
+        others still send orders.
         """
         catalogue = catalogue_of(70)
         divided = shards.Shards(catalogue)
@@ -82,7 +84,7 @@
         self.advance(5)
         self.assertEqual(divided.count(SERVICE), 8)
 
-    def test_lasting_change_divides_anew(self):
+    def test_lasting_change_updates_the_division(self):
         catalogue = catalogue_of(70)
         divided = shards.Shards(catalogue)
         divided.count(SERVICE)
@@ -92,7 +94,7 @@
         self.advance(4)
         self.assertEqual(divided.count(SERVICE), 4)
 
-    def test_adapter_has_one_first_group_everywhere(self):
+    def test_preference_is_the_same_on_all_vms(self):
         orders = {
             tuple(shards.Shards(catalogue_of(70)).preference(SERVICE, ask('a')))
             for _vm in range(3)
@@ -101,37 +103,37 @@
 
     def test_adapters_spread_over_the_groups(self):
         divided = shards.Shards(catalogue_of(70))
-        firsts = Counter(
+        count_by_group = Counter(
             divided.preference(SERVICE, ask(f'a{number}'))[0]
             for number in range(800)
         )
-        self.assertEqual(len(firsts), 8)
-        self.assertLess(max(firsts.values()), 150)
+        self.assertEqual(len(count_by_group), 8)
+        self.assertLess(max(count_by_group.values()), 150)
 
 
 class FakeClaims:
-    """Says that each group has an owner named after it."""
+    """Claims in which each group has an owner named after it."""
 
     def __init__(self, without: tuple[GroupId, ...] = ()) -> None:
-        """Name no owner of the groups ``without``."""
+        """Leave the groups ``without`` without an owner."""
         self.without = without
 
     def owner(self, group: GroupId) -> VmId | None:
-        """Give the owner."""
+        """Return the owner of a group."""
         return None if group in self.without else VmId(f'owner of {group}')
 
 
 class FakePlaces:
-    """Owners that answer as a test says."""
+    """Owners with configurable answers."""
 
     def __init__(self) -> None:
-        """Let every owner grant."""
+        """Start with owners that all grant."""
         self.asked: list[tuple[GroupId, bool]] = []
         self.waits: dict[GroupId, float] = {}
         self.silent: set[VmId] = set()
 
     async def take(self, owner, request):
-        """Grant, decline or keep silent."""
+        """Grant, decline or fail to answer."""
         self.asked.append((request.group, request.may_decline))
         if owner in self.silent:
             raise OwnerSilent('no answer')
@@ -152,25 +154,25 @@
     tried: tuple[str, ...] = ()
 
     def until_late(self) -> float:
-        """Give the time left until it is late."""
+        """Return the seconds until it is late."""
         return 1.0
 
     def remaining(self) -> float:
-        """Give the time left."""
+        """Return the remaining seconds."""
         return 5.0
 
     until_first_event = remaining
 
 
 class NoPlaces:
-    """Engines that hold nothing."""
+    """A fallback without places."""
 
     async def take(self, _request, _ask):
-        """Give no place."""
+        """Return no place."""
 
 
-class TestSeeking(TimedTestCase):
-    """One request before eight groups."""
+class TestPlaceFinder(TimedTestCase):
+    """Search for a place among eight groups."""
 
     def setUp(self) -> None:
         """Start with owners that all grant."""
@@ -180,48 +182,51 @@
         self.places = FakePlaces()
         self.probed: list[VmId] = []
 
-    def seek(self, claims=None):
-        """Give the group where the request got its place."""
+    def find_group(self, claims=None):
+        """Return the group where the request got its place."""
         finder = self.finder(claims or FakeClaims())
         return curio.run(finder.take, FakeRequest(), ask('a'))
 
     def finder(self, claims):
-        """Give a VM's way to its places; silent owners are noted."""
+        """Return a place finder that records its probes."""
         return PlaceFinder(
             claims, self.places, self.shards, self._probe, NoPlaces()
         )
 
     async def _probe(self, vm):
-        """Note which VM is to be probed."""
+        """Record the VM to probe."""
         self.probed.append(vm)
 
     def test_first_group_is_asked_first(self):
-        self.assertEqual(self.seek(), self.order[0])
+        self.assertEqual(self.find_group(), self.order[0])
         self.assertEqual(self.places.asked, [(self.order[0], True)])
 
-    def test_next_group_is_asked_where_the_first_declines(self):
+    def test_next_group_is_asked_if_the_first_declines(self):
         self.places.waits = {self.order[0]: 2.0}
-        self.assertEqual(self.seek(), self.order[1])
+        self.assertEqual(self.find_group(), self.order[1])
 
-    def test_shortest_wait_is_taken_where_all_decline(self):
+    def test_shortest_wait_is_chosen_if_all_decline(self):
         self.places.waits = dict.fromkeys(self.order, 2.0)
         self.places.waits[self.order[2]] = 1.0
-        self.assertEqual(self.seek(), self.order[2])
+        self.assertEqual(self.find_group(), self.order[2])
         self.assertEqual(self.places.asked[-1], (self.order[2], False))
 
-    def test_group_without_an_owner_costs_nothing(self):
-        """The owner of an adapter's first group has just ended.
+    def test_group_without_an_owner_is_skipped(self):
+        """Guards against waiting for a group whose owner has ended.
 
-        Its requests waited for the next owner, and most of them came late.
+        Requests of adapters that prefer this group waited for its next owner,
+        and most were late.
         """
-        self.assertEqual(self.seek(FakeClaims((self.order[0],))), self.order[1])
+        self.assertEqual(
+            self.find_group(FakeClaims((self.order[0],))), self.order[1]
+        )
         self.assertEqual(len(self.places.asked), 1)
 
-    def test_silent_owner_is_asked_last_for_a_while(self):
-        """An owner's VM went dark.
+    def test_unresponsive_owner_is_asked_last(self):
+        """Guards against asking an unreachable owner with each request.
 
-        Each request waited half a second for it before it went on, until
-        membership had found out.
+        Until membership detected the failure of a VM, each request waited
+        half a second for it before asking another.
         """
         self.places.silent = {VmId(f'owner of {self.order[0]}')}
         finder = self.finder(FakeClaims())
@@ -231,30 +236,30 @@
         self.assertEqual(self.places.asked, [(self.order[1], True)])
         self.assertEqual(self.probed, [f'owner of {self.order[0]}'])
 
-    def test_refusal_of_the_last_one_asked_is_final(self):
+    def test_refusal_other_than_decline_is_final(self):
         self.places.take = self._refuse
         with self.assertRaises(ServingError):
-            self.seek()
+            self.find_group()
 
     async def _refuse(self, _owner, _request):
         raise ServingError(ErrorKind.OVERLOADED, 'full', retry_after=1)
 
 
 class TestPopularAdapter(TimedTestCase):
-    """One adapter that is asked for more often than a group can serve."""
+    """An adapter with more requests than one group can serve."""
 
     ENGINES = 9
-    A_SECOND = 60
+    REQUESTS_PER_SECOND = 60
     SECONDS = 6
 
-    def play(self, groups: int) -> int:
-        """Give how many of the requests should be in time."""
+    def count_in_time(self, groups: int) -> int:
+        """Return the number of requests expected to be in time."""
         engines = [
             [ledger(f'engine-{g}-{n}') for n in range(self.ENGINES)]
             for g in range(groups)
         ]
         in_time = 0
-        for number in range(self.A_SECOND * self.SECONDS):
+        for number in range(self.REQUESTS_PER_SECOND * self.SECONDS):
             request = ask(
                 'popular', number, prompt_tokens=9000, parts=[], target=1.0
             )
@@ -262,11 +267,11 @@
             if choice is not None:
                 in_time += choice.wait <= request.target
                 self.place(request, choice)
-            self.advance(1 / self.A_SECOND)
+            self.advance(1 / self.REQUESTS_PER_SECOND)
         return in_time
 
     def first_good(self, request, engines: list[list[EngineLedger]]):
-        """Ask the groups in turn, as requests do; none may have a place."""
+        """Return a choice by asking the groups in turn, as requests do."""
         popularity = Popularity()
         choices = []
         for group in engines:
@@ -277,7 +282,7 @@
         return min(choices, key=lambda choice: choice.wait, default=None)
 
     def place(self, request, choice) -> None:
-        """Let the chosen engine take the request, and end older ones."""
+        """Place the request on the chosen engine and end older requests."""
         engine = choice.engine
         if choice.load:
             hold(engine, request.adapter)
@@ -286,12 +291,13 @@
         for place in oldest:
             engine.give_back(place)
 
-    def test_it_spreads_over_the_groups(self):
-        """A fifth of all requests ask for one adapter.
+    def test_popular_adapter_spreads_over_groups(self):
+        """Guards against confining a popular adapter to one group.
 
-        Its first group alone reads some 30 of its prompts a second; with
-        the rest turned to the next groups nearly all are in time.
+        A fifth of all requests use one adapter. Its preferred group processes
+        about 30 of its prompts per second; if the other requests go to further
+        groups, nearly all are in time.
         """
-        total = self.A_SECOND * self.SECONDS
-        self.assertLess(self.play(1), 0.75 * total)
-        self.assertGreater(self.play(4), 0.95 * total)
+        total = self.REQUESTS_PER_SECOND * self.SECONDS
+        self.assertLess(self.count_in_time(1), 0.75 * total)
+        self.assertGreater(self.count_in_time(4), 0.95 * total)
