--- a/flamingovalve/gateway/engine.py
+++ b/flamingovalve/gateway/engine.py
@@ -201,7 +201,7 @@
         """Return an adapter to unload before the first load of a new owner.
 
         An engine accepts a load of an adapter that is already being loaded
-        from any VM, whatever sequence number the order has. So two VMs that
+        from any sender, whatever sequence number the order has. So two VMs that
         both believe to own the engine could each load the same popular
         adapter. Of two unloads the engine accepts only the first.
         """
@@ -315,7 +315,7 @@
         if ledger.chain.note_report(report):
             self._context.counts.foreign += 1
             logger.warning(
-                'upstream {} accepts orders of another VM; sequence={}',
+                'upstream {} accepts orders from another sender; sequence={}',
                 ledger.upstream.id,
                 report.sequence,
             )
@@ -343,7 +343,7 @@
         fences = self._context.fences
         ledger.fence = await fences.found_after(ledger.chain.quiet_since)
         if ledger.fence == NO_FENCE and not ledger.chain.foreign:
-            # The store is unavailable. No other VM was seen to send orders,
+            # The store is unavailable. No other sender of orders was seen,
             # and this claim exceeds all that were known when it was made.
             ledger.fence = fences.claimed
 
--- a/flamingovalve/gateway/place_finder.py
+++ b/flamingovalve/gateway/place_finder.py
@@ -210,6 +210,6 @@
 def _no_owner() -> ServingError:
     return ServingError(
         ErrorKind.NOT_OWNER,
-        'no VM currently owns these engines; retry later',
+        'no VM currently grants places on these engines; retry later',
         retry_after=_NO_OWNER_RETRY_SECONDS,
     )
--- a/tests/test_fallback_placement.py
+++ b/tests/test_fallback_placement.py
@@ -67,7 +67,7 @@
         return curio.run(self.places.take, Request(**changes), ask(name))
 
     def test_engine_that_holds_the_adapter_serves_it(self):
-        """Guards against waiting for an owner of a loaded adapter.
+        """Guards against waiting for an owner if the adapter is loaded.
 
         All VMs had just started and none owned the engines. Every completion
         waited until it was late, although most adapters were loaded.
