--- a/flamingovalve/gateway/group.py
+++ b/flamingovalve/gateway/group.py
@@ -1,4 +1,4 @@
-"""The engines of one group, and what choices among them rest on."""
+"""The engines of one group and the choice of an engine for a request."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 class EngineGroup:
-    """Follows and orders the engines that one owner has.
+    """Monitors the engines of one owner and sends them orders.
 
-    :ivar predecessor_ended: whether whoever owned the group before has
-        provably stopped ordering
-    :ivar orders_after: no engine that is taken up is ordered before this
-        moment, on our clock
+    :ivar predecessor_ended: whether the previous owner of the group has
+        provably stopped sending orders
+    :ivar orders_after: earliest time of an order to a newly added engine,
+        by the local clock
     """
 
     def __init__(
@@ -50,10 +50,10 @@
         link_to: Callable[[Upstream], EngineLink],
         tasks: TaskSet,
     ) -> None:
-        """Have no engine yet.
+        """Create a group without engines.
 
-        :param fences: finds the fencing numbers of orders
-        :param link_to: opens the way to an engine
+        :param fences: provides the fencing numbers of orders
+        :param link_to: creates the connection to an engine
         """
         self.counts = OwnerCounts()
         self.popularity = Popularity()
@@ -61,7 +61,7 @@
         self.loads = LoadTimes(settings.adapter_load_seconds)
         self.predecessor_ended = False
         self.orders_after = 0.0
-        self._is_new = True
+        self._is_initial = True
         self._settings = settings
         self._vm = vm
         self._fences = fences
@@ -69,7 +69,7 @@
         self._link_to = link_to
         self._tasks = tasks
         self._followers: dict[UpstreamId, curio.Task] = {}
-        self._asked_by_model: dict[ModelId, int] = {}
+        self._requests_by_model: dict[ModelId, int] = {}
 
     async def replace(
         self,
@@ -77,9 +77,9 @@
         traits: EngineTraits,
         listener: EngineListener,
     ) -> None:
-        """Have exactly ``upstreams`` from now on.
+        """Replace the engines of the group by ``upstreams``.
 
-        :param listener: is told what happens on the engines
+        :param listener: is notified of events of the engines
         """
         wanted = {upstream.id: upstream for upstream in upstreams}
         for name in list(self.engines_by_id):
@@ -92,33 +92,33 @@
             else:
                 known.ledger.upstream = upstream
                 known.ledger.traits = traits
-        # Said of whoever owned the group before us; an engine that comes
-        # later may come from a group whose owner lives.
+        # Applies only to the previous owner of this group; an engine that is
+        # added later may come from a group whose owner is alive.
         self.predecessor_ended = False
-        self._is_new = False
+        self._is_initial = False
 
-    def hold_orders(self, seconds: float) -> None:
-        """Order nothing for a while, nor let new engines be ordered."""
+    def suspend_orders(self, seconds: float) -> None:
+        """Send no orders to current or new engines for ``seconds``."""
         until = clock.now() + seconds
         self.orders_after = max(self.orders_after, until)
         for engine in self.engines_by_id.values():
             chain = engine.ledger.chain
             chain.stands_down_until = max(chain.stands_down_until, until)
 
-    def note_asked(self, ask: PlaceAsk) -> None:
-        """Count a request for the popularity of its model and adapter."""
+    def record_request(self, ask: PlaceAsk) -> None:
+        """Count a request towards the popularity of its model and adapter."""
         if ask.model in self._models():
-            asked = self._asked_by_model.get(ask.model, 0)
-            self._asked_by_model[ask.model] = asked + 1
+            asked = self._requests_by_model.get(ask.model, 0)
+            self._requests_by_model[ask.model] = asked + 1
         if ask.adapter:
             self.popularity.note(ask.adapter)
 
     def ledgers(self) -> list[EngineLedger]:
-        """Give what is known of each engine."""
+        """Return the ledger of each engine."""
         return [engine.ledger for engine in self.engines_by_id.values()]
 
     def usable(self) -> list[EngineLedger]:
-        """Give the engines that take requests."""
+        """Return the engines that accept requests."""
         return [
             ledger
             for ledger in self.ledgers()
@@ -127,7 +127,7 @@
         ]
 
     def candidates(self, ask: PlaceAsk) -> list[EngineLedger]:
-        """Give the engines that a request may go to."""
+        """Return the engines that may serve ``ask``."""
         return [
             ledger
             for ledger in self.usable()
@@ -135,7 +135,7 @@
         ]
 
     def choose(self, ask: PlaceAsk) -> dispatch.Choice | None:
-        """Choose an engine for a request, if one has a place."""
+        """Choose an engine with a free place for ``ask``, if there is one."""
         return dispatch.choose(
             ask,
             self.candidates(ask),
@@ -144,11 +144,11 @@
         )
 
     def has_openings(self) -> bool:
-        """Tell whether an adapter could be loaded now for who waits."""
+        """Return whether an adapter can be loaded now for a queued request."""
         return dispatch.openings(self.usable(), self.popularity)
 
     def version(self, ask: PlaceAsk) -> int:
-        """Give the version that a request's adapter must have; 0 for any."""
+        """Return the required adapter version of ``ask``; 0 for any."""
         return self._catalogue.wanted_version(ask.model, ask.adapter)
 
     async def _adopt(
@@ -167,15 +167,15 @@
         ledger = EngineLedger(
             upstream, traits, settings, chain, loads=self.loads
         )
-        if self._is_new:
-            # The claim exceeds those of whoever owned the group before.
+        if self._is_initial:
+            # The claim's fencing number exceeds those of previous owners.
             ledger.fence = self._fences.claimed
         context = EngineContext(
             self._vm,
             self._fences,
             self.counts,
             self.popularity,
-            self._missing_model,
+            self._model_to_load,
             listener,
         )
         engine = OwnedEngine(context, ledger, self._link_to(upstream))
@@ -194,10 +194,10 @@
             await listener.requeue(waiters)
         engine.waiting.clear()
 
-    def _missing_model(self, engine: EngineLedger) -> ModelId:
-        """Give the model that an empty engine should load; empty for none."""
+    def _model_to_load(self, engine: EngineLedger) -> ModelId:
+        """Return the model that an empty engine should load, or '' for none."""
         ledgers = self.ledgers()
-        model = dispatch.model_in_demand(ledgers, self._asked_by_model)
+        model = dispatch.model_in_demand(ledgers, self._requests_by_model)
         if model in engine.at_hand or not dispatch.is_fetching(ledgers):
             return model
         return ModelId('')
--- a/flamingovalve/gateway/owned.py
+++ b/flamingovalve/gateway/owned.py
@@ -1,4 +1,4 @@
-"""The groups of engines that this VM owns."""
+"""Manages the groups of engines that this VM owns."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
     Announce = Callable[[OwnerRumour], Awaitable[None]]
 
 _TICK_SECONDS: Final = 0.25
-# Several times what a store that is well takes to answer.
-_HASTE_SECONDS: Final = 0.1
+# Several times the response time of a healthy store.
+_SHORT_STORE_TIMEOUT_SECONDS: Final = 0.1
 
 
 class OwnedGroups:
-    """Claims groups that nobody owns and serves those that are ours."""
+    """Claims groups without an owner and runs an owner for each claimed one."""
 
     def __init__(
         self,
@@ -52,12 +52,12 @@
         link_to: Callable[[Upstream], EngineLink],
         started_at: float,
     ) -> None:
-        """Own nothing yet.
+        """Create a manager that owns no group.
 
-        :param fresh_revision: asks the store for its revision
-        :param probe: looks at once whether a VM still answers
-        :param link_to: opens the way to an engine
-        :param started_at: when this process started, on our clock
+        :param fresh_revision: reads the current revision from the store
+        :param probe: checks immediately whether a VM still answers
+        :param link_to: creates the connection to an engine
+        :param started_at: start of this process, by the local clock
         """
         self._settings = settings
         self._members = members
@@ -67,28 +67,29 @@
         self._fresh_revision = fresh_revision
         self._link_to = link_to
         self._owners: dict[GroupId, GroupOwner] = {}
-        self._is_sure_by_group: dict[GroupId, bool] = {}
-        self._given_up = OwnerCounts()
+        self._is_epoch_highest_by_group: dict[GroupId, bool] = {}
+        self._released_counts = OwnerCounts()
         self._reconciling = curio.Lock()
         self._probe = probe
-        # A process that has just started does not know whether the one
-        # before it on this VM ordered a moment ago: taking turns with
-        # whoever followed that one would be seen as two holders. That one
-        # ended before this one started, so a lease from then on is enough.
+        # The previous process of this VM may have sent orders just before it
+        # ended, and its successor as owner may have sent some since. If this
+        # process ordered within a lease, the engine would see two holders
+        # alternate. The previous process ended before this one started, so
+        # one lease from the start suffices.
         self._orders_after = started_at + settings.lease_seconds
 
     def find(self, group: GroupId) -> GroupOwner | None:
-        """Give the owner of a group, if that is this VM."""
+        """Return the local owner of ``group``, or None if this VM has none."""
         return self._owners.get(group)
 
     async def reconcile_forever(self, announce: Announce) -> None:
-        """Look at all groups again and again."""
+        """Reconcile all groups periodically."""
         while True:
             await self.reconcile(announce)
             await curio.sleep(_TICK_SECONDS)
 
     async def reconcile(self, announce: Announce) -> None:
-        """Claim, take up and give up groups as claims and services say."""
+        """Claim, acquire and release groups to match claims and services."""
         async with self._reconciling:
             wanted: set[GroupId] = set()
             services = self._catalogue.configuration.services_by_name
@@ -115,45 +116,49 @@
                 await owner.replace_engines(upstreams, traits)
 
     async def close(self) -> None:
-        """Give up every group."""
+        """Release every group."""
         for group in list(self._owners):
             await self._release(group)
 
     async def _release(self, group: GroupId) -> None:
-        """Stop ordering, and begin no more within a lease.
+        """Stop the owner of a group; send no new orders for a lease.
 
-        Whoever follows may order at once. If this VM came back meanwhile,
-        the engine would see the two take turns.
+        The next owner may send orders immediately. If this VM acquired the
+        group again within the lease and sent orders, the engine would see
+        two holders alternate.
         """
         owner = self._owners.pop(group)
         await owner.close()
-        self._given_up.add(owner.counts)
-        quiet = self._settings.lease_seconds
-        quiet += 2 * self._settings.report_lag_seconds
-        self._orders_after = clock.now() + quiet
+        self._released_counts.add(owner.counts)
+        pause = self._settings.lease_seconds
+        pause += 2 * self._settings.report_lag_seconds
+        self._orders_after = clock.now() + pause
 
     def note_late_wakeup(self) -> None:
-        """Stop ordering for a lease: others may own what we still believe."""
-        quiet = self._settings.lease_seconds
-        quiet += 2 * self._settings.report_lag_seconds
+        """Send no orders for a lease after the process woke up late.
+
+        Other VMs may have taken over the groups in between.
+        """
+        pause = self._settings.lease_seconds
+        pause += 2 * self._settings.report_lag_seconds
         for owner in self._owners.values():
-            owner.engines.hold_orders(quiet)
+            owner.engines.suspend_orders(pause)
 
     def engine_count(self) -> int:
-        """Count the engines that this VM owns."""
+        """Return the number of engines that this VM owns."""
         return sum(
             len(one.engines.engines_by_id) for one in self._owners.values()
         )
 
     def total_counts(self) -> OwnerCounts:
-        """Give the counts of all groups that this VM has owned, added up."""
-        total = dataclasses.replace(self._given_up)
+        """Return the summed counts of all groups owned since the start."""
+        total = dataclasses.replace(self._released_counts)
         for owner in self._owners.values():
             total.add(owner.counts)
         return total
 
     def state_dump(self) -> dict[str, Any]:
-        """Give what each owned group is doing."""
+        """Return the state of each owned group."""
         return {
             group: owner.state_dump() for group, owner in self._owners.items()
         }
@@ -163,15 +168,18 @@
         group: GroupId,
         announce: Announce,
     ) -> GroupOwner | None:
-        """Claim, take up or give up one group; give its owner if we are it."""
+        """Claim, acquire or release one group.
+
+        :returns: the local owner, or None if this VM does not own the group
+        """
         ended = self._claims.predecessor_ended(group)
         claim: OwnerRumour | None = None
         if self._claims.should_claim(group):
             claim = await self._claim(group, predecessor_ended=ended)
         owner_vm = self._claims.owner(group)
         if owner_vm is None:
-            # Many VMs may have ended together; the next in turn is looked at
-            # now and not when its turn for a probe comes.
+            # Several VMs may have ended together; probe the next candidate
+            # now instead of at its periodic probe.
             await self._probe(self._claims.candidate(group))
         is_ours = owner_vm == self._members.own_id
         owner = self._owners.get(group)
@@ -181,26 +189,29 @@
             await self._release(group)
             owner = None
         if claim is not None:
-            # Told only now, so that places can be held here at once.
+            # Announced after the owner exists, so that it can accept places
+            # as soon as other VMs learn of the claim.
             await announce(claim)
         return owner
 
     async def announce_raised_epochs(self, announce: Announce) -> None:
-        """Tell of fencing numbers that were found since they were claimed."""
+        """Announce epochs that were raised since their group was claimed."""
         for group, owner in list(self._owners.items()):
             raised = self._claims.raise_epoch(group, owner.fences.epoch)
             if raised is not None:
                 await announce(raised)
 
-    async def _revision_now(self, *, in_haste: bool) -> int | None:
-        """Ask the store for its revision; in haste not for long.
+    async def _read_revision(self, *, has_short_timeout: bool) -> int | None:
+        """Read the store's revision, optionally with a short timeout.
+
+        Otherwise a store that does not respond would leave the group without
+        an owner until the request to it times out.
 
-        A store that is silent would leave the group without an owner for as
-        long as it takes to give up on it.
+        :returns: the revision, or None without an answer in time
         """
-        if not in_haste:
+        if not has_short_timeout:
             return await self._fresh_revision()
-        async with curio.ignore_after(_HASTE_SECONDS):
+        async with curio.ignore_after(_SHORT_STORE_TIMEOUT_SECONDS):
             return await self._fresh_revision()
         return None
 
@@ -211,22 +222,26 @@
         predecessor_ended: bool,
     ) -> OwnerRumour | None:
         known = group in self._claims.by_group
-        is_told = known and predecessor_ended
-        revision = await self._revision_now(in_haste=is_told)
+        is_epoch_announced = known and predecessor_ended
+        revision = await self._read_revision(
+            has_short_timeout=is_epoch_announced
+        )
         if not self._claims.should_claim(group):
-            # Another VM claimed while the store was asked. Outbidding it
-            # would change the owner once more, and cost a lease of loads.
+            # Another VM claimed while the store was queried. Outbidding it
+            # would change the owner again and block loads for a lease.
             return None
-        # One more than the store's: whoever owned the group may have taken a
-        # number from that revision and told nobody.
+        # One more than the store's revision: the previous owner may have
+        # used that revision as its epoch without announcing it.
         newest = (revision or self._catalogue.revision) + 1
         claim = self._claims.claim(group, newest)
-        # The number of an owner that ended was told, also where it had been
-        # found after its claim.
-        is_sure = (is_told or revision is not None) and not claim.provisional
-        self._is_sure_by_group[group] = is_sure
+        # An owner that ended has announced its epoch, including one that was
+        # raised after its claim.
+        is_epoch_highest = (
+            is_epoch_announced or revision is not None
+        ) and not claim.provisional
+        self._is_epoch_highest_by_group[group] = is_epoch_highest
         owner = self._owners.get(group)
-        if owner is not None and is_sure:
+        if owner is not None and is_epoch_highest:
             owner.fences.renew(claim.epoch)
         return claim
 
@@ -237,9 +252,9 @@
         predecessor_ended: bool,
     ) -> GroupOwner:
         claim = self._claims.by_group[group]
-        # Claimed without the store, its number may be lower than one that
-        # the owner before had taken from there.
-        epoch = claim.epoch if self._is_sure_by_group.get(group) else 0
+        # A claim made without the store may have a lower epoch than one that
+        # the previous owner read from the store.
+        epoch = claim.epoch if self._is_epoch_highest_by_group.get(group) else 0
         vm = self._members.own_id
         owner = GroupOwner(
             self._settings,
--- a/flamingovalve/gateway/owner.py
+++ b/flamingovalve/gateway/owner.py
@@ -1,4 +1,4 @@
-"""Owning the engines of a group: who gets a place, and who has to wait."""
+"""Grants the places of a group's engines and queues requests for them."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 logger = get_logger(__name__)
 
-_OWNER_CHANGE_SECONDS: Final = 0.2
-_REFUSED_LOAD_SECONDS: Final = 1.0
-# Said of a group none of whose engines can serve a request.
-_LONGEST_WAIT_SECONDS: Final = 60.0
+_OWNER_CHANGE_RETRY_SECONDS: Final = 0.2
+_REFUSED_LOAD_RETRY_SECONDS: Final = 1.0
+# Upper limit of the wait reported while no engine can serve the request.
+_MAX_WAIT_SECONDS: Final = 60.0
 
 
 class GroupOwner:
-    """Gives out the places of a group's engines."""
+    """Grants requests places on the engines of one group."""
 
     def __init__(
         self,
@@ -52,10 +52,10 @@
         catalogue: Catalogue,
         link_to: Callable[[Upstream], EngineLink],
     ) -> None:
-        """Own nothing yet.
+        """Create an owner without engines.
 
-        :param fences: finds the fencing numbers of orders
-        :param link_to: opens the way to an engine
+        :param fences: provides the fencing numbers of orders
+        :param link_to: creates the connection to an engine
         """
         self._tasks = TaskSet()
         self.group = group
@@ -67,12 +67,12 @@
         self._queue = PlaceQueue(self.engines, self._grant)
 
     async def start(self) -> None:
-        """Begin to look after waiting requests."""
+        """Start the periodic check of queued requests."""
         await self._tasks.spawn(self._queue.sweep_forever)
 
     async def close(self) -> None:
-        """Stop ordering; refuse whoever still waits."""
-        await self._queue.refuse_all(_not_owner())
+        """Stop sending orders and refuse every queued request."""
+        await self._queue.refuse_all(_not_owner_error())
         await self._tasks.cancel()
 
     async def replace_engines(
@@ -80,11 +80,11 @@
         upstreams: Iterable[Upstream],
         traits: EngineTraits,
     ) -> None:
-        """Own exactly ``upstreams`` from now on."""
+        """Replace the set of owned engines by ``upstreams``."""
         await self.engines.replace(upstreams, traits, self)
 
     def state_dump(self) -> dict[str, Any]:
-        """Give what this owner does and what it has learnt."""
+        """Return counts, learnt durations and ledgers as JSON values."""
         return {
             'counts': asdict(self.counts),
             'fence': self.fences.claimed,
@@ -106,8 +106,8 @@
     async def place(self, ask: PlaceAsk) -> Place:
         """Wait for a place for ``ask``.
 
-        :raises ServingError: when there will be none in time, or none that
-            is good where another group can be asked
+        :raises ServingError: if none becomes available in time, or if the
+            request may be declined and should try another group
         """
         at_once = self.place_at_once(ask)
         if at_once is not None:
@@ -115,30 +115,30 @@
         return await self.place_in_turn(ask)
 
     def place_at_once(self, ask: PlaceAsk) -> Place | None:
-        """Give a place on an engine that holds the adapter, if there is one.
+        """Return a place on an engine that holds the adapter, if there is one.
 
-        Most requests ask for what is there. They need no task and no turn:
-        none of those who wait could use the place better, as they wait for
-        a slot.
+        Most requests ask for a resident adapter. They bypass the queue and
+        need no task: queued requests wait for a slot, so none of them could
+        make better use of the place.
 
-        :raises ServingError: when another group should be asked
+        :raises ServingError: if the request should try another group
         """
         self.counts.asked += 1
-        self.engines.note_asked(ask)
+        self.engines.record_request(ask)
         choice = self.engines.choose(ask)
         if ask.may_decline and not _is_good(ask, choice):
-            raise self._declined(ask, choice)
+            raise self._declined_error(ask, choice)
         if choice is None or not choice.is_ready():
             return None
         place = choice.engine.take(ask)
         self.counts.granted += 1
-        self._note_place(ask, choice, 0)
+        self._log_place(ask, choice, 0)
         return place
 
     async def place_in_turn(self, ask: PlaceAsk) -> Place:
-        """Wait for a place among the others who do.
+        """Queue ``ask`` and wait until it is granted a place.
 
-        :raises ServingError: when there will be none in time
+        :raises ServingError: if no place becomes available in time
         """
         waiter = Waiter(ask, clock.now(), clock.now())
         self._queue.enqueue(waiter)
@@ -148,7 +148,7 @@
             await self._queue.refuse_if_hopeless(waiter)
             await waiter.settled.wait()
         except curio.CancelledError:
-            self._forget(waiter)
+            self._abandon(waiter)
             raise
         if waiter.refusal is not None:
             raise waiter.refusal
@@ -156,19 +156,22 @@
         self.counts.granted += 1
         return waiter.place
 
-    def _declined(
+    def _declined_error(
         self,
         ask: PlaceAsk,
         choice: dispatch.Choice | None,
     ) -> ServingError:
-        """Send a request to another group that would be late in this one."""
+        """Return the error that sends a request to another group.
+
+        Its expected wait in this group is too long.
+        """
         self.counts.declined += 1
         if choice is None:
             waiting = len(self._queue)
-            ahead = Line(waiting, is_waited_in=waiting > 0)
+            queue = Line(waiting, is_waited_in=waiting > 0)
             engines = self.engines.candidates(ask)
-            wait = self._queue.admission.expected_wait(ask, ahead, engines)
-            wait = min(wait, _LONGEST_WAIT_SECONDS)
+            wait = self._queue.admission.expected_wait(ask, queue, engines)
+            wait = min(wait, _MAX_WAIT_SECONDS)
         else:
             wait = choice.wait
         note(
@@ -182,12 +185,12 @@
         )
         return ServingError(
             ErrorKind.NO_GOOD_PLACE,
-            f'group {self.group} has no good place; ask another group',
+            f'group {self.group} would delay the request; ask another group',
             retry_after=wait,
         )
 
     def adopt_place(self, hold: PlaceHold) -> Place | None:
-        """Count a place that a former owner gave."""
+        """Record a place that a previous owner granted."""
         engine = self.engines.engines_by_id.get(hold.upstream)
         if engine is None:
             return None
@@ -203,12 +206,12 @@
         outcome: PlaceOutcome,
         first_event: float,
     ) -> None:
-        """Take back a place."""
+        """Release a place and record how its request ended."""
         engine = place.engine
         was_full = engine.is_full()
         engine.give_back(place)
         if outcome is PlaceOutcome.REFUSED:
-            await self._await_adapter(place)
+            await self._mark_adapter_missing(place)
         elif outcome is not PlaceOutcome.ABANDONED:
             failed = outcome is not PlaceOutcome.FINISHED
             engine.note_verdict(failed=failed)
@@ -225,16 +228,17 @@
         await self.serve_waiting()
 
     async def _request_report(self, place: Place) -> None:
-        """See at once whether an engine that broke a connection still answers.
+        """Poll an engine that broke a connection without delay.
 
-        Until the next report it would be given requests that all fail.
+        If it has crashed, every request sent to it before the next periodic
+        report would fail.
         """
         engine = self.engines.engines_by_id.get(place.engine.upstream.id)
         if engine is not None:
             await engine.report_now.set()
 
-    async def _await_adapter(self, place: Place) -> None:
-        """Send nobody to an engine whose adapter turned out not to be there."""
+    async def _mark_adapter_missing(self, place: Place) -> None:
+        """Send no requests for an adapter to an engine that lacks it."""
         engine = self.engines.engines_by_id.get(place.engine.upstream.id)
         held = place.engine.note_adapter_missing(place.ask.adapter)
         if engine is not None and held is not None:
@@ -245,21 +249,21 @@
         waiters: list[Waiter],
         outcome: OrderOutcome,
     ) -> None:
-        """Let requests wait again, or refuse those that can never be served.
+        """Requeue requests, or refuse them if the engine refused the load.
 
         An engine refuses to load an adapter that its model does not have.
-        Ordered again and again, it would get hundreds of orders a second.
+        Retrying such a load would send it hundreds of orders per second.
         """
         await self.requeue(waiters)
         if outcome is OrderOutcome.REFUSED:
-            still_here = [one for one in waiters if not one.is_gone]
-            for waiter in still_here:
+            connected = [one for one in waiters if not one.is_gone]
+            for waiter in connected:
                 await self._queue.refuse(
-                    waiter, _load_refused(waiter.ask.adapter)
+                    waiter, _load_refused_error(waiter.ask.adapter)
                 )
 
     async def requeue(self, waiters: list[Waiter]) -> None:
-        """Let requests wait again whose load did not come about."""
+        """Put requests whose load failed back into the queue."""
         for waiter in waiters:
             if waiter.place is not None:
                 waiter.place.engine.give_back(waiter.place)
@@ -268,32 +272,32 @@
                 self._queue.enqueue(waiter)
 
     async def serve_waiting(self) -> None:
-        """Look whether somebody who waits can be served now."""
+        """Grant places to queued requests that can be served now."""
         await self._queue.serve_waiting()
 
-    def _forget(self, waiter: Waiter) -> None:
+    def _abandon(self, waiter: Waiter) -> None:
         self._queue.remove(waiter)
         if waiter.place is not None:
             waiter.place.engine.give_back(waiter.place)
-        # A load that fails later must not queue it again: nobody would give
-        # the place back, and its adapter could never be unloaded.
+        # A load that fails later must not requeue this request: its place
+        # would never be released, and its adapter never unloaded.
         waiter.is_gone = True
 
     async def _grant(self, waiter: Waiter, choice: dispatch.Choice) -> None:
-        """Give a place; whoever waits for a load gets it when that is done."""
+        """Grant a place; settle the waiter once the adapter is resident."""
         ledger = choice.engine
         owned = self.engines.engines_by_id[ledger.upstream.id]
         if choice.load:
-            await self._begin_load(owned, waiter.ask, choice.victim)
+            await self._start_load(owned, waiter.ask, choice.victim)
         held = ledger.held.get(waiter.ask.adapter)
         waiter.place = ledger.take(waiter.ask)
-        self._note_place(waiter.ask, choice, clock.now() - waiter.asked_at)
+        self._log_place(waiter.ask, choice, clock.now() - waiter.asked_at)
         if held is None or held.state is Holding.RESIDENT:
             await waiter.settled.set()
             return
         owned.waiting.setdefault(held.name, []).append(waiter)
 
-    def _note_place(
+    def _log_place(
         self,
         ask: PlaceAsk,
         choice: dispatch.Choice,
@@ -313,7 +317,7 @@
             report_age=round(clock.now() - ledger.reported_at, 2),
         )
 
-    async def _begin_load(
+    async def _start_load(
         self,
         owned: OwnedEngine,
         ask: PlaceAsk,
@@ -338,17 +342,17 @@
     return choice is not None and dispatch.is_good(ask, choice)
 
 
-def _not_owner() -> ServingError:
+def _not_owner_error() -> ServingError:
     return ServingError(
         ErrorKind.NOT_OWNER,
-        'another VM owns these engines now; ask it',
-        retry_after=_OWNER_CHANGE_SECONDS,
+        'another VM owns this group of engines now; ask that VM',
+        retry_after=_OWNER_CHANGE_RETRY_SECONDS,
     )
 
 
-def _load_refused(adapter: str) -> ServingError:
+def _load_refused_error(adapter: str) -> ServingError:
     return ServingError(
         ErrorKind.LOAD_FAILED,
-        f'no engine can load adapter {adapter!r}; see whether it exists',
-        retry_after=_REFUSED_LOAD_SECONDS,
+        f'no engine can load adapter {adapter!r}; check that it exists',
+        retry_after=_REFUSED_LOAD_RETRY_SECONDS,
     )
--- a/flamingovalve/gateway/ownership.py
+++ b/flamingovalve/gateway/ownership.py
@@ -1,4 +1,4 @@
-"""Which VM owns each group of engines, by claims that are gossiped."""
+"""Determines the owner of each group of engines from gossiped claims."""
 
 from __future__ import annotations
 
@@ -18,49 +18,51 @@
 
 logger = get_logger(__name__)
 
-# Views of who lives can differ for seconds. A claim holds this long unless
-# its process has provably ended, so two VMs that each miss the other cannot
-# take an engine from each other within a lease of three seconds.
-_HELD_SECONDS: Final = 4.0
-# A lease, and what news of a start takes to spread.
-_SEASONED_SECONDS: Final = 4.0
+# Membership views can differ for seconds. A claim stays in force this long
+# unless its process has provably ended, so two VMs that each consider the
+# other dead cannot take over an engine from each other within a lease of
+# three seconds.
+_CLAIM_HOLD_SECONDS: Final = 4.0
+# A lease plus the time that gossip of a process start takes to spread.
+_ESTABLISHED_SECONDS: Final = 4.0
 
 
 class GroupClaims:
-    """The claims that hold, by group.
+    """The newest known claim of each group.
 
-    A claim stays with its VM while that lives, so a VM that comes back does
-    not move what works; without one the heaviest live VM claims.
+    A claim remains with its VM while that VM is alive, so a VM that returns
+    does not move a working group. A group without a valid claim is claimed
+    by the live VM that ranks first in rendezvous hashing.
     """
 
     def __init__(self, members: MemberTable, started_at: float) -> None:
         """Start without claims.
 
-        :param started_at: when this process started, on our clock
+        :param started_at: start of this process, by the local clock
         """
         self.members = members
         self.started_at = started_at
         self.by_group: dict[GroupId, OwnerRumour] = {}
-        self._heard_at: dict[GroupId, float] = {}
+        self._received_at: dict[GroupId, float] = {}
 
     def owner(self, group: GroupId) -> VmId | None:
-        """Give the VM whose claim holds, if it lives."""
+        """Return the VM whose claim is in force, if any."""
         claim = self.by_group.get(group)
-        if claim is None or not self._lives(claim):
+        if claim is None or not self._is_in_force(claim):
             return None
         return claim.vm
 
     def predecessor_ended(self, group: GroupId) -> bool:
-        """Tell whether the last owner has provably stopped ordering."""
+        """Return whether the last owner has provably stopped sending orders."""
         claim = self.by_group.get(group)
         if claim is None:
-            return self._all_began_anew()
+            return self._all_just_started()
         if claim.vm == self.members.own_id:
             return False
         return self._has_ended(claim)
 
     def should_claim(self, group: GroupId) -> bool:
-        """Tell whether this VM is the one to claim ``group`` now."""
+        """Return whether this VM should claim ``group`` now."""
         if clock.now() < self.started_at + SETTLE_SECONDS:
             return False
         if self.members.own_state is not MemberState.ALIVE:
@@ -70,28 +72,29 @@
         return self.candidate(group) == self.members.own_id
 
     def candidate(self, group: GroupId) -> VmId | None:
-        """Give the VM that should claim a group without an owner.
+        """Return the VM that should claim a group without an owner.
 
-        A process that has just started orders nothing for a lease, since the
-        one before it may have ordered a moment ago. One that has run for
-        longer can go on at once, so it goes first. Of those the large ones
-        go first, as owning takes processor time.
+        A process that has just started sends no orders for a lease, since
+        the previous process of its VM may have sent some just before it
+        ended. Processes that have run longer can send orders immediately and
+        are preferred. Among these, large VMs are preferred, as owning a group
+        takes processor time.
         """
-        oldest = clock.now() - _SEASONED_SECONDS
+        latest_start = clock.now() - _ESTABLISHED_SECONDS
         present = self.members.present()
-        seasoned = [
-            member for member in present if member.process_since <= oldest
+        established = [
+            member for member in present if member.process_since <= latest_start
         ]
-        names = [member.vm.id for member in largest(seasoned or present)]
+        names = [member.vm.id for member in largest(established or present)]
         return VmId(hashing.heaviest(group, names) or '') or None
 
     def claim(self, group: GroupId, revision: int) -> OwnerRumour:
         """Claim ``group``.
 
-        The epoch exceeds every one that was heard of, also of other groups:
-        an engine that came from one of them must not see a lower fencing
-        number after a higher one. The store's revision only grows, so it
-        also exceeds those that all VMs have forgotten after they ended
+        The epoch exceeds every known one, including those of other groups:
+        an engine that moved here from another group must not see a lower
+        fencing number after a higher one. The store's revision only grows,
+        so the epoch also exceeds those that were lost when all VMs ended
         together.
         """
         known = self.by_group.get(group)
@@ -99,9 +102,9 @@
         highest = max((one.epoch for one in self.by_group.values()), default=0)
         epoch = max(revision, highest + 1)
         if provisional and known is not None:
-            # Cut off from most VMs, this one cannot know that they have no
-            # owner. If it outbid theirs, ownership would change hands when
-            # the cut heals, and engines get no loads for a lease.
+            # Partitioned from most VMs, this one cannot know whether they
+            # have an owner. If it outbid that owner, ownership would change
+            # when the partition heals, and engines get no loads for a lease.
             epoch = known.epoch
         rumour = OwnerRumour(
             group,
@@ -111,7 +114,7 @@
             provisional,
         )
         self.by_group[group] = rumour
-        self._heard_at[group] = clock.now()
+        self._received_at[group] = clock.now()
         note(
             logger,
             'this VM claims a group',
@@ -123,12 +126,12 @@
         return rumour
 
     def hear(self, rumour: OwnerRumour) -> News:
-        """Take another VM's claim if it is newer than the one known."""
+        """Apply another VM's claim if it has precedence over the known one."""
         known = self.by_group.get(rumour.group)
-        if known is not None and _rank(known) >= _rank(rumour):
+        if known is not None and _precedence(known) >= _precedence(rumour):
             return News.NONE
         self.by_group[rumour.group] = rumour
-        self._heard_at[rumour.group] = clock.now()
+        self._received_at[rumour.group] = clock.now()
         note(
             logger,
             'another VM owns a group',
@@ -140,12 +143,12 @@
         return News.URGENT
 
     def raise_epoch(self, group: GroupId, epoch: int) -> OwnerRumour | None:
-        """Let our claim carry a number that its owner found meanwhile.
+        """Raise the epoch of this VM's claim to one that its owner now uses.
 
-        Untold, the next owner's number could fall short of it, and an engine
-        would see a lower one after a higher one.
+        Otherwise the next owner could choose a lower epoch, and an engine
+        would see a lower fencing number after a higher one.
 
-        :returns: what to tell; nothing where all know already
+        :returns: the rumour to announce, or None if the epoch is not higher
         """
         claim = self.by_group.get(group)
         if claim is None or claim.vm != self.members.own_id:
@@ -156,24 +159,25 @@
         self.by_group[group] = raised
         return raised
 
-    def _all_began_anew(self) -> bool:
-        """Tell whether all VMs that are known have just started.
+    def _all_just_started(self) -> bool:
+        """Return whether all known VMs have just started.
 
-        After a loss of all, nobody is left who could go on ordering. Without
-        this the engines get no load for one more lease.
+        If all VMs ended together, no previous owner can still send orders.
+        Without this check the engines would get no loads for another lease.
         """
-        oldest = clock.now() - _SEASONED_SECONDS
+        latest_start = clock.now() - _ESTABLISHED_SECONDS
         return self.members.has_quorum() and all(
-            member.process_since > oldest for member in self.members.present()
+            member.process_since > latest_start
+            for member in self.members.present()
         )
 
     def _may_confirm(self, group: GroupId) -> bool:
-        """Tell whether our provisional claim can be made a full one."""
+        """Return whether this VM's provisional claim can be confirmed."""
         claim = self.by_group[group]
-        ours = claim.vm == self.members.own_id and claim.provisional
-        return ours and self.members.has_quorum()
+        is_own = claim.vm == self.members.own_id and claim.provisional
+        return is_own and self.members.has_quorum()
 
-    def _lives(self, claim: OwnerRumour) -> bool:
+    def _is_in_force(self, claim: OwnerRumour) -> bool:
         members = self.members
         if claim.vm == members.own_id:
             return (
@@ -182,7 +186,7 @@
             )
         if self._has_ended(claim):
             return False
-        if clock.now() < self._heard_at[claim.group] + _HELD_SECONDS:
+        if clock.now() < self._received_at[claim.group] + _CLAIM_HOLD_SECONDS:
             return True
         member = members.by_id.get(claim.vm)
         return member is not None and member.is_present()
@@ -197,7 +201,7 @@
         return replaced or claim.incarnation in member.ended
 
 
-def _rank(claim: OwnerRumour) -> tuple[int, bool, str, int]:
+def _precedence(claim: OwnerRumour) -> tuple[int, bool, str, int]:
     return (
         claim.epoch,
         not claim.provisional,
--- a/flamingovalve/gateway/shards.py
+++ b/flamingovalve/gateway/shards.py
@@ -1,8 +1,8 @@
 """Divides the engines of a service into groups that have an owner each.
 
-Answers services of more engines than one owner can look after: each place
-takes its owner processor time, and a small VM's is used up by the requests of
-some dozens of engines. An owner that is late makes all of them late.
+Supports services with more engines than one owner can manage: each place
+costs its owner processor time, and the requests of some dozens of engines
+saturate a small VM. An overloaded owner delays the requests of all its engines.
 """
 
 from __future__ import annotations
@@ -23,75 +23,76 @@
 
 logger = get_logger(__name__)
 
-# Small groups pack adapters badly, large ones load their owner. The count is
-# the power of two that comes nearest, so 51 to 101 engines make eight groups
-# and neither a lost failure domain nor a scale-out changes the division.
+# Small groups pack adapters badly, large ones overload their owner. The count
+# is the nearest power of two, so 51 to 101 engines form eight groups, and
+# neither a lost failure domain nor a scale-out changes the division.
 _ENGINES_PER_GROUP: Final = 9
-# A new division is used once the list has said so for this long. Lists reach
-# all VMs within about a second; a division that some use and others do not
-# would give an engine two owners.
-_SETTLED_SECONDS: Final = 3.0
+# A new group count takes effect after the list of engines has implied it for
+# this long. Lists reach all VMs within about a second; if only some VMs used a
+# new division, an engine would have two owners.
+_CHANGE_DELAY_SECONDS: Final = 3.0
 
 
 def group_count(engines: int) -> int:
-    """Give the number of groups for as many engines."""
+    """Return the number of groups for ``engines`` engines."""
     if engines <= _ENGINES_PER_GROUP:
         return 1
     return 1 << round(math.log2(engines / _ENGINES_PER_GROUP))
 
 
 def group_of(upstream: Upstream, count: int) -> GroupId:
-    """Give the group that an engine belongs to.
+    """Return the group that an engine belongs to.
 
-    With twice as many groups, half of the engines of each stay in it.
+    When the count doubles, half of the engines of each group stay in it.
     """
     digest = hashing.weight('group', upstream.id)
-    return _named(upstream.service, digest % count)
+    return _group_id(upstream.service, digest % count)
 
 
 def groups_of(service: ServiceId, count: int) -> list[GroupId]:
-    """Give all groups of a service."""
-    return [_named(service, index) for index in range(count)]
+    """Return all groups of a service."""
+    return [_group_id(service, index) for index in range(count)]
 
 
-def _named(service: ServiceId, index: int) -> GroupId:
+def _group_id(service: ServiceId, index: int) -> GroupId:
     return GroupId(f'{service}/{index}' if index else service)
 
 
 @dataclass(slots=True)
 class _Division:
-    """How many groups a service has.
+    """The number of groups of a service.
 
-    :ivar wanted: what the list says now
-    :ivar since: since when it has said so
+    :ivar count: number in use
+    :ivar wanted: number that the current list of engines implies
+    :ivar wanted_since: when ``wanted`` last changed, by the local clock
     """
 
     count: int
     wanted: int
-    since: float
+    wanted_since: float
 
 
 class Shards:
-    """The division of each service, as this VM uses it."""
+    """The division of each service into groups that this VM uses."""
 
     def __init__(self, catalogue: Catalogue) -> None:
-        """Divide by the upstreams that ``catalogue`` lists."""
+        """Divide the upstreams that ``catalogue`` lists."""
         self._catalogue = catalogue
         self._by_service: dict[ServiceId, _Division] = {}
 
     def count(self, service: ServiceId) -> int:
-        """Give the number of groups of a service."""
+        """Return the number of groups of a service."""
         wanted = group_count(len(self._catalogue.upstreams(service)))
-        moment = clock.now()
+        now = clock.now()
         known = self._by_service.get(service)
         if known is None:
-            known = _Division(wanted, wanted, moment)
+            known = _Division(wanted, wanted, now)
             self._by_service[service] = known
         if known.wanted != wanted:
             known.wanted = wanted
-            known.since = moment
-        settled = moment >= known.since + _SETTLED_SECONDS
-        if settled and known.count != wanted:
+            known.wanted_since = now
+        is_stable = now >= known.wanted_since + _CHANGE_DELAY_SECONDS
+        if is_stable and known.count != wanted:
             known.count = wanted
             note(
                 logger,
@@ -103,11 +104,11 @@
         return known.count
 
     def groups(self, service: ServiceId) -> list[GroupId]:
-        """Give the groups of a service."""
+        """Return the groups of a service."""
         return groups_of(service, self.count(service))
 
     def engines(self, service: ServiceId) -> dict[GroupId, list[Upstream]]:
-        """Give the engines of each group of a service."""
+        """Return the engines of each group of a service."""
         count = self.count(service)
         by_group: dict[GroupId, list[Upstream]] = {
             group: [] for group in groups_of(service, count)
@@ -121,18 +122,19 @@
         service: ServiceId,
         engine: UpstreamId,
     ) -> GroupId | None:
-        """Give the group of an engine that is listed."""
+        """Return the group of a listed engine, or None if it is not listed."""
         for group, upstreams in self.engines(service).items():
             if any(upstream.id == engine for upstream in upstreams):
                 return group
         return None
 
     def preference(self, service: ServiceId, ask: PlaceAsk) -> list[GroupId]:
-        """Order the groups for a request, the likeliest holder first.
+        """Return the groups for a request in order of preference.
 
-        An adapter has the same first group everywhere, so it is loaded on
-        few engines and the parts of its prompts are kept there. Requests
-        for the base model are spread by the part that others share.
+        An adapter has the same first group on all VMs, so it is loaded on few
+        engines, and these cache its prompt prefixes. Requests for the base
+        model are distributed by their first prompt part, which other requests
+        share.
         """
         key: str = ask.adapter
         if not key and ask.parts:
