--- a/tests/rig/history.py
+++ b/tests/rig/history.py
@@ -1,4 +1,4 @@
-"""What callers sent and were told, and the checks of every promise."""
+"""Records the requests and responses of callers and checks them."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 @dataclass
 class Payment:
-    """One send of a call that must not run twice.
+    """One attempt of a call that must not run twice.
 
-    :ivar key: the same for a send and its resends
+    :ivar key: idempotency key, the same for all attempts of a call
     """
 
     key: str
@@ -33,7 +33,7 @@
 
 @dataclass
 class Completion:
-    """One completion."""
+    """One completion request."""
 
     name: str
     prompt: str
@@ -45,7 +45,7 @@
 
 @dataclass
 class History:
-    """Everything that the callers of one fleet did."""
+    """All requests of the callers of one fleet."""
 
     fleet: Fleet
     payments: list[Payment] = field(default_factory=list)
@@ -54,11 +54,11 @@
     violations: list[str] = field(default_factory=list)
 
     def pay(self, vm_id: str, key: str, order: str) -> Payment:
-        """Send a payment and do not wait."""
+        """Send a payment without waiting for its response."""
         address = self.fleet.vms_by_id[vm_id].http_address
         task = self.fleet.caller.start(address, pay_call(key, order), 100)
-        moment = self.fleet.world.moment
-        payment = Payment(key, order, vm_id, moment, task)
+        sent_at = self.fleet.world.moment
+        payment = Payment(key, order, vm_id, sent_at, task)
         self.payments.append(payment)
         return payment
 
@@ -71,22 +71,22 @@
         stream: bool,
         **options: Any,
     ) -> Completion:
-        """Send a completion and do not wait."""
+        """Send a completion without waiting for its response."""
         address = self.fleet.vms_by_id[vm_id].http_address
         call = completion_call(name, prompt, stream=stream, **options)
         task = self.fleet.caller.start(address, call, 110)
-        moment = self.fleet.world.moment
-        sent = Completion(name, prompt, stream, vm_id, moment, task)
+        sent_at = self.fleet.world.moment
+        sent = Completion(name, prompt, stream, vm_id, sent_at, task)
         self.completions.append(sent)
         return sent
 
     def observe(self) -> None:
-        """Check what must hold at every moment."""
+        """Check that no daemon has reverted to an older version."""
         for daemon in self.fleet.daemons():
             self._observe_version(daemon)
 
     def finish(self, seconds: float = 150) -> None:
-        """Wait for every request."""
+        """Wait until every request has ended."""
         tasks = [sent.task for sent in (*self.payments, *self.completions)]
         self.fleet.world.run_until(
             lambda: all(task.terminated for task in tasks),
@@ -94,7 +94,7 @@
         )
 
     def check(self) -> list[str]:
-        """Give every broken promise."""
+        """Return a description of each violation."""
         self.observe()
         self._check_payments()
         self._check_completions()
@@ -106,14 +106,16 @@
         version = daemon.inventory().version if daemon.is_ready else 0
         known = self.versions_by_vm.get(vm_id, 0)
         if daemon.is_ready and version < known:
-            self._broken(f'{vm_id} went from version {known} to {version}')
+            self._add_violation(
+                f'{vm_id} went from version {known} to {version}'
+            )
         self.versions_by_vm[vm_id] = max(version, known)
 
     def _check_payments(self) -> None:
-        told: dict[str, list[Any]] = defaultdict(list)
+        outcomes_by_key: dict[str, list[Any]] = defaultdict(list)
         for payment in self.payments:
-            told[payment.key].append(outcome_of(payment.task))
-        for key, outcomes in told.items():
+            outcomes_by_key[payment.key].append(outcome_of(payment.task))
+        for key, outcomes in outcomes_by_key.items():
             self._check_key(key, outcomes)
 
     def _check_key(self, key: str, outcomes: list[Any]) -> None:
@@ -122,39 +124,43 @@
             for service in self.fleet.services_by_id.values()
         )
         if runs > 1:
-            self._broken(f'{key[-12:]} ran {runs} times')
+            self._add_violation(f'{key[-12:]} ran {runs} times')
         answers = [
             outcome for outcome in outcomes if isinstance(outcome, Response)
         ]
         bodies = {answer.body for answer in answers if answer.status == OK}
         if len(bodies) > 1:
-            self._broken(f'{key[-12:]} got different answers')
+            self._add_violation(f'{key[-12:]} got different answers')
         if bodies and not runs:
-            self._broken(f'{key[-12:]} was answered and did not run')
+            self._add_violation(f'{key[-12:]} was answered and did not run')
         refused = [answer for answer in answers if answer.status != OK]
-        said = {_ran(answer) for answer in refused}
-        if 'no' in said and runs:
-            story = self._story(key)
-            self._broken(f'{key[-12:]} was called "not run" and ran: {story}')
-
-    def _story(self, key: str) -> list[str]:
-        """Give each send of a key and what its caller was told."""
+        reported = {_ran(answer) for answer in refused}
+        if 'no' in reported and runs:
+            attempts = self._attempts(key)
+            self._add_violation(
+                f'{key[-12:]} was called "not run" and ran: {attempts}'
+            )
+
+    def _attempts(self, key: str) -> list[str]:
+        """Return each attempt with ``key`` and its outcome."""
         lines = []
         for payment in self.payments:
             if payment.key != key:
                 continue
             outcome = outcome_of(payment.task)
-            told = repr(outcome)
+            description = repr(outcome)
             if isinstance(outcome, Response):
-                told = f'{outcome.status} {outcome.body[:160]!r}'
-            lines.append(f'{payment.sent_at:.3f} {payment.vm_id}: {told}')
+                description = f'{outcome.status} {outcome.body[:160]!r}'
+            lines.append(
+                f'{payment.sent_at:.3f} {payment.vm_id}: {description}'
+            )
         return lines
 
     def _check_completions(self) -> None:
         for sent in self.completions:
             outcome = outcome_of(sent.task)
             if outcome is None:
-                self._broken(f'{sent.prompt} got no answer at all')
+                self._add_violation(f'{sent.prompt} got no answer at all')
             if isinstance(outcome, Response) and outcome.status == OK:
                 self._check_text(sent, outcome)
 
@@ -162,15 +168,15 @@
         content = {'messages': [{'role': 'user', 'content': sent.prompt}]}
         expected = ''.join(tokens_of(sent.name, content))
         if _text(response.body, stream=sent.stream) != expected:
-            self._broken(f'{sent.prompt} got a wrong or partial answer')
+            self._add_violation(f'{sent.prompt} got a wrong or partial answer')
 
     def _check_evictions(self) -> None:
         for engine in self.fleet.engines_by_id.values():
             if engine.counted.evicted_in_use:
                 count = engine.counted.evicted_in_use
-                self._broken(f'{engine.name} evicted {count} in use')
+                self._add_violation(f'{engine.name} evicted {count} in use')
 
-    def _broken(self, violation: str) -> None:
+    def _add_violation(self, violation: str) -> None:
         self.violations.append(violation)
 
 
--- a/tests/rig/site_faults.py
+++ b/tests/rig/site_faults.py
@@ -1,4 +1,4 @@
-"""Random faults on a small site, and what must hold at its upstreams."""
+"""Injects random faults into a small site and checks for violations."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 LEASE_SECONDS: Final = 3.0
 _SETTLE_SECONDS: Final = 12
-_LONGEST_STEP_SECONDS: Final = 2.5
+_MAX_STEP_SECONDS: Final = 2.5
 _HEARTBEAT_SECONDS: Final = 0.25
 _ADAPTERS: Final = 12
 _VMS: Final = 4
 
 
 class FaultySite:
-    """A site to which faults happen, drawn from one seed."""
+    """A site with random faults from one seed."""
 
     def __init__(self, seed: int) -> None:
         """Start the site."""
@@ -36,11 +36,11 @@
         self._paused: set[str] = set()
 
     def close(self) -> None:
-        """End everything."""
+        """Close the site."""
         self.site.close()
 
     def play(self, steps: int) -> None:
-        """Let faults and requests come in any order, then settle."""
+        """Inject faults and send requests in random order, then settle."""
         faults = self.faults()
         for _step in range(steps):
             for _request in range(self.chance.randrange(5)):
@@ -48,7 +48,7 @@
             fault = self.chance.choice(faults)
             self.steps[fault.__name__] += 1
             fault()
-            self.advance(self.chance.uniform(0, _LONGEST_STEP_SECONDS))
+            self.advance(self.chance.uniform(0, _MAX_STEP_SECONDS))
         self.settle()
 
     def faults(self) -> list[Callable[[], None]]:
@@ -66,7 +66,7 @@
         ]
 
     def advance(self, seconds: float) -> None:
-        """Let time pass while upstreams write their entries."""
+        """Advance the time while upstreams write their entries."""
         end = self.site.world.monotonic() + seconds
         while self.site.world.monotonic() < end:
             self.site.register(self.site.engines[0])
@@ -76,7 +76,7 @@
     # -- Requests and faults
 
     def running(self) -> list[str]:
-        """Give the VMs whose process runs."""
+        """Return the ids of the VMs whose process runs."""
         return [
             vm.id
             for vm in self.site.vms_by_id.values()
@@ -84,7 +84,7 @@
         ]
 
     def ask(self) -> None:
-        """Send a completion or an order through any VM."""
+        """Send a completion or an order through a random VM."""
         if not self.running():
             return
         vm_id = self.chance.choice(self.running())
@@ -98,19 +98,19 @@
         self.answers.append((name, self.site.begin(vm_id, call)))
 
     def cut_vms(self) -> None:
-        """Cut the fleet in two."""
+        """Partition the fleet into two parts."""
         names = list(self.site.vms_by_id)
         self.chance.shuffle(names)
         count = self.chance.randrange(1, len(names))
         self.site.links.partition(names[:count], names[count:])
 
     def cut_store(self) -> None:
-        """Cut one VM off the store."""
+        """Partition one VM from the store."""
         vm_id = self.chance.choice(list(self.site.vms_by_id))
         self.site.links.partition([vm_id], ['store'])
 
     def heal(self) -> None:
-        """Make every link whole."""
+        """Heal all partitions."""
         self.site.links.heal()
 
     def kill(self) -> None:
@@ -125,14 +125,14 @@
                 self.site.start(vm.id)
 
     def pause(self) -> None:
-        """Stop a process as SIGSTOP does."""
+        """Pause a process as SIGSTOP does."""
         if len(self.running()) > 1:
             vm_id = self.chance.choice(self.running())
             self.site.vms_by_id[vm_id].node.paused = True
             self._paused.add(vm_id)
 
     def wake(self) -> None:
-        """Let the stopped processes go on."""
+        """Resume the paused processes."""
         for vm_id in self._paused:
             node = self.site.vms_by_id[vm_id].node
             if node is not None:
@@ -140,17 +140,17 @@
         self._paused.clear()
 
     def lose_orders(self) -> None:
-        """Lose the next orders to an engine."""
+        """Drop the next orders to an engine."""
         engine = self.chance.choice(self.site.engines)
         engine.dropped_orders = self.chance.randrange(3)
 
     def slow_orders(self) -> None:
-        """Let an engine take its time to answer orders."""
+        """Delay the answers of an engine to orders."""
         engine = self.chance.choice(self.site.engines)
         engine.order_seconds = self.chance.choice((0.0, 0.1, 0.3))
 
     def settle(self) -> None:
-        """End all faults and wait."""
+        """End all faults and wait for the site to recover."""
         self.heal()
         self.wake()
         self.start()
@@ -159,16 +159,16 @@
             engine.order_seconds = 0
         self.advance(_SETTLE_SECONDS)
 
-    # -- What must hold
+    # -- Checks
 
     def broken_promises(self) -> list[str]:
-        """Give every promise that was broken, in words."""
+        """Return a description of each violation."""
         broken = []
         for engine in self.site.engines:
-            broken += _broken_at(engine)
-        return [*broken, *self._runs(), *self._unserved()]
+            broken += _engine_violations(engine)
+        return [*broken, *self._run_violations(), *self._unserved_violations()]
 
-    def _runs(self) -> list[str]:
+    def _run_violations(self) -> list[str]:
         runs: Counter[str] = Counter()
         for app in self.site.apps:
             runs.update(app.runs_by_request)
@@ -180,7 +180,7 @@
                 broken.append(f'{name} ran and was called not run')
         return broken
 
-    def _unserved(self) -> list[str]:
+    def _unserved_violations(self) -> list[str]:
         answers = {
             vm_id: self.site.send(vm_id, self.site.chat(f'new-{vm_id}')).status
             for vm_id in self.site.vms_by_id
@@ -198,7 +198,7 @@
     return hasattr(task.result, 'status')
 
 
-def _broken_at(engine: PlatformEngineStandIn) -> list[str]:
+def _engine_violations(engine: PlatformEngineStandIn) -> list[str]:
     broken = []
     if engine.crashes:
         broken.append(f'{engine.name} was ordered to hold too much')
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Which addresses callers are told to use."""
+"""Tests which addresses callers are given."""
 
 from __future__ import annotations
 
@@ -14,24 +14,27 @@
 
 EAST, WEST = DomainId('east'), DomainId('west')
 OWN = VmId('10.0.0.0:7000')
-MOST = 6
+MAX_NEAR = 6
 
 
 class TestAddresses(TimedTestCase):
-    """One VM of a fleet that answers callers."""
+    """Tests of the directory of one VM of a fleet."""
 
     def fleet(self, count, large=0):
-        """Start with ``count`` VMs in the east, some of them large."""
+        """Return the directory of a fleet with ``count`` VMs in the east.
+
+        :param large: number of VMs with 2.15 cores instead of 0.36
+        """
         self.members = MemberTable(OWN, Incarnation(1))
         own = PublishedVm(OWN, EAST, 'front-0', OWN)
         self.members.open(own, [], 0.36)
         for number in range(1, count):
             cores = 2.15 if number <= large else 0.36
-            self.tell(number, MemberState.ALIVE, EAST, cores)
-        return AddressDirectory(self.members, MOST)
+            self.apply_state(number, MemberState.ALIVE, EAST, cores)
+        return AddressDirectory(self.members, MAX_NEAR)
 
-    def tell(self, number, state, domain=EAST, cores=0.36, counter=0):
-        """Let the VM hear how another one is."""
+    def apply_state(self, number, state, domain=EAST, cores=0.36, counter=0):
+        """Apply a rumour with the state of another VM."""
         vm = VmId(f'10.0.0.{number}:7000')
         rumour = MemberRumour(
             vm,
@@ -44,47 +47,48 @@
         )
         self.members.apply(rumour)
 
-    def test_small_domain_is_named_whole(self):
+    def test_all_of_a_small_domain_are_returned(self):
         self.assertEqual(len(self.fleet(4).addresses(EAST)), 4)
 
-    def test_few_of_a_large_domain_are_named(self):
-        """Callers use all 35 VMs of a failure domain in turn.
+    def test_few_of_a_large_domain_are_returned(self):
+        """A failure domain has 35 VMs.
 
-        Hardly any VM had a connection to the engine that it needed, and a
-        new one costs a request up to 15 ms and the engine a slot.
+        If callers used all of them, a VM would rarely have an open connection
+        to the engine of a request. A new one costs the request up to 15 ms
+        and the engine a slot.
         """
-        self.assertEqual(len(self.fleet(35).addresses(EAST)), MOST)
+        self.assertEqual(len(self.fleet(35).addresses(EAST)), MAX_NEAR)
 
-    def test_large_vms_are_named(self):
-        named = self.fleet(35, large=2).addresses(EAST)
-        self.assertTrue({'front-1', 'front-2'} <= set(named))
+    def test_large_vms_are_returned(self):
+        addresses_returned = self.fleet(35, large=2).addresses(EAST)
+        self.assertTrue({'front-1', 'front-2'} <= set(addresses_returned))
 
     def test_answer_changes_by_one_when_a_vm_leaves(self):
         """A VM that callers use leaves.
 
-        Callers drop connections to addresses that a new answer lacks, so
-        the other addresses have to stay.
+        Callers close connections to addresses that a new answer lacks, so
+        the other addresses must stay.
         """
         directory = self.fleet(35)
         before = directory.addresses(EAST)
-        gone = next(name for name in before if name != 'front-0')
-        number = int(gone.partition('-')[2])
-        self.tell(number, MemberState.LEAVING, counter=1)
+        removed = next(name for name in before if name != 'front-0')
+        number = int(removed.partition('-')[2])
+        self.apply_state(number, MemberState.LEAVING, counter=1)
         after = directory.addresses(EAST)
-        self.assertNotIn(gone, after)
-        self.assertEqual(len(set(before) & set(after)), MOST - 1)
+        self.assertNotIn(removed, after)
+        self.assertEqual(len(set(before) & set(after)), MAX_NEAR - 1)
 
-    def test_caller_without_vms_near_gets_others(self):
+    def test_caller_without_near_vms_gets_others(self):
         self.assertEqual(len(self.fleet(5).addresses(WEST)), 5)
 
 
 class TestWeightedOrder(TimedTestCase):
-    """Rendezvous hashing by size."""
+    """Tests of weighted rendezvous hashing."""
 
-    def test_twice_the_size_leads_twice_as_often(self):
+    def test_twice_the_weight_ranks_first_twice_as_often(self):
         sizes = {'a': 2.0, 'b': 1.0, 'c': 1.0}
-        leads = Counter(
+        first_counts = Counter(
             hashing.weighted(f'key {n}', sizes)[0] for n in range(4000)
         )
-        self.assertAlmostEqual(leads['a'] / 4000, 0.5, delta=0.03)
-        self.assertAlmostEqual(leads['b'] / 4000, 0.25, delta=0.03)
+        self.assertAlmostEqual(first_counts['a'] / 4000, 0.5, delta=0.03)
+        self.assertAlmostEqual(first_counts['b'] / 4000, 0.25, delta=0.03)
--- a/tests/test_group_claims.py
+++ b/tests/test_group_claims.py
@@ -1,4 +1,4 @@
-"""Which VM owns a group of engines, as claims come and go."""
+"""Tests which VM owns a group of engines."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def table_of(own: VmId) -> MemberTable:
-    """Give the members of a fleet of five as one of them sees it."""
+    """Return the member table of one VM in a fleet of five."""
     members = MemberTable(own, Incarnation(1))
     members.open(PublishedVm(own, DomainId('east'), own, own), [])
     for vm in VMS:
@@ -31,52 +31,52 @@
 
 
 def rumour_of(vm: VmId, state: MemberState) -> MemberRumour:
-    """Give the rumour that states how a VM is."""
+    """Return a rumour with the state of a VM."""
     return MemberRumour(vm, Incarnation(1), 0, state, DomainId('east'), vm)
 
 
 class TestClaims(TimedTestCase):
-    """One VM of five and what it hears."""
+    """Tests of the claims that VMs of a fleet of five make and receive."""
 
     def setUp(self) -> None:
-        """Start as the VM that is to claim."""
+        """Find the VM that should claim the group."""
         super().setUp()
         claims = [GroupClaims(table_of(vm), self.moment) for vm in VMS]
         self.advance(10)
         self.claimer = next(c for c in claims if c.should_claim(GROUP))
         self.others = [c for c in claims if c is not self.claimer]
 
-    def silence(self, claims, *vms):
-        """Let a VM believe others to be dead, without any proof."""
+    def mark_dead(self, claims, *vms):
+        """Mark VMs as dead in one VM's view, without proof that they ended."""
         for vm in vms:
             claims.members.apply(rumour_of(vm, MemberState.DEAD))
 
     def test_one_claims(self):
         self.assertFalse(any(c.should_claim(GROUP) for c in self.others))
 
-    def test_process_that_has_just_started_goes_last(self):
-        """The owner and others are killed and back within a second.
+    def test_process_that_has_just_started_ranks_last(self):
+        """The owner is killed and restarted within a second.
 
-        A fresh process orders nothing for a lease, so with one of them as
-        owner the group got no loads for three seconds.
+        A new process sends no orders for a lease, so with it as owner the
+        group would get no loads for three seconds.
         """
         ended = self.claimer.members.own_id
         for other in self.others:
-            again = rumour_of(ended, MemberState.ALIVE)
-            again.incarnation = Incarnation(2)
-            other.members.apply(again)
+            restarted = rumour_of(ended, MemberState.ALIVE)
+            restarted.incarnation = Incarnation(2)
+            other.members.apply(restarted)
         chosen = {other.candidate(GROUP) for other in self.others}
         self.assertEqual(len(chosen), 1)
         self.assertNotIn(ended, chosen)
 
-    def test_claim_is_heard_once(self):
+    def test_claim_is_applied_once(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
         self.assertIs(other.hear(claim), News.URGENT)
         self.assertIs(other.hear(claim), News.NONE)
         self.assertEqual(other.owner(GROUP), self.claimer.members.own_id)
 
-    def test_next_claim_exceeds_every_epoch_heard_of(self):
+    def test_next_claim_exceeds_every_known_epoch(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
         other.hear(claim)
@@ -84,10 +84,11 @@
         self.assertEqual(other.claim(GROUP, 90).epoch, 90)
 
     def test_next_claim_exceeds_the_epochs_of_other_groups(self):
-        """An engine moves to a group whose claim is older than its last one.
+        """An engine moves to a group with an older claim than its last one.
 
-        With the fencing number of that claim its orders would follow higher
-        ones, and an engine that checks them would refuse them all.
+        With the fencing number of that claim, orders would have a lower
+        number than earlier ones, and an engine that checks it would refuse
+        them all.
         """
         other = self.others[0]
         other.hear(self.claimer.claim(GroupId('engines/1'), 90))
@@ -96,15 +97,15 @@
     def test_large_vms_own(self):
         """Most VMs are small and a few are six times as large.
 
-        An owner on a small one has no time left for its own callers.
+        An owner on a small VM has no processor time left for its callers.
         """
         large = self.others[0].members.own_id
         for one in self.others:
             for vm in VMS:
-                again = rumour_of(vm, MemberState.ALIVE)
-                again.incarnation = Incarnation(2)
-                again.cores = 2.15 if vm == large else 0.36
-                one.members.apply(again)
+                restarted = rumour_of(vm, MemberState.ALIVE)
+                restarted.incarnation = Incarnation(2)
+                restarted.cores = 2.15 if vm == large else 0.36
+                one.members.apply(restarted)
             one.members.by_id[one.members.own_id].cores = 0.36
         chosen = {
             one.candidate(GROUP)
@@ -113,36 +114,38 @@
         }
         self.assertEqual(chosen, {large})
 
-    def test_owner_that_came_back_owns_nothing(self):
+    def test_restarted_owner_owns_nothing(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
         other.hear(claim)
-        again = MemberRumour(claim.vm, Incarnation(2), 0, MemberState.ALIVE)
-        other.members.apply(again)
+        restarted = MemberRumour(claim.vm, Incarnation(2), 0, MemberState.ALIVE)
+        other.members.apply(restarted)
         self.assertIsNone(other.owner(GROUP))
 
-    def test_cut_off_vm_does_not_outbid_the_rest(self):
-        """A VM is cut off from all others, which keep their owner.
+    def test_partitioned_vm_does_not_outbid_the_rest(self):
+        """A VM is partitioned from all others, which keep their owner.
 
-        With a higher epoch its claim would win when the cut heals, and the
-        engines would get no loads for a lease after every cut.
+        With a higher epoch its claim would win when the partition heals, and
+        the engines would get no loads for a lease after every partition.
         """
         claim = self.claimer.claim(GROUP, 7)
-        cut = self.others[0]
-        cut.hear(claim)
+        partitioned = self.others[0]
+        partitioned.hear(claim)
         self.advance(5)
-        self.silence(cut, *(vm for vm in VMS if vm != cut.members.own_id))
-        self.assertTrue(cut.should_claim(GROUP))
-        provisional = cut.claim(GROUP, 50)
+        self.mark_dead(
+            partitioned, *(vm for vm in VMS if vm != partitioned.members.own_id)
+        )
+        self.assertTrue(partitioned.should_claim(GROUP))
+        provisional = partitioned.claim(GROUP, 50)
         self.assertTrue(provisional.provisional)
         self.assertIs(self.claimer.hear(provisional), News.NONE)
-        self.assertIs(cut.hear(claim), News.URGENT)
+        self.assertIs(partitioned.hear(claim), News.URGENT)
 
     def test_claim_of_an_unknown_vm_holds_for_a_lease(self):
-        """A VM that was just restarted knows a quarter of the others.
+        """A VM that has just restarted knows only a quarter of the others.
 
-        It took the owner, which it did not know, for gone, and claimed; the
-        owner claimed back. Engines saw two holders take turns.
+        If it took an unknown owner for dead, it would claim the group and the
+        owner would claim it back. Engines would see two holders alternate.
         """
         claim = self.claimer.claim(GROUP, 7)
         fresh = GroupClaims(table_of(VMS[0]), self.moment)
@@ -154,7 +157,7 @@
         self.advance(2)
         self.assertIsNone(fresh.owner(GROUP))
 
-    def test_owner_that_provably_ended_holds_nothing(self):
+    def test_claim_of_an_ended_owner_is_void(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
         other.hear(claim)
@@ -164,7 +167,7 @@
     def test_provisional_claim_is_confirmed(self):
         alone = self.claimer
         others = [vm for vm in VMS if vm != alone.members.own_id]
-        self.silence(alone, *others)
+        self.mark_dead(alone, *others)
         self.assertTrue(alone.claim(GROUP, 7).provisional)
         for vm in others:
             alone.members.apply(
@@ -174,7 +177,7 @@
         self.assertTrue(alone.should_claim(GROUP))
         self.assertFalse(alone.claim(GROUP, 9).provisional)
 
-    def test_leaving_predecessor_is_not_waited_for(self):
+    def test_leaving_predecessor_has_ended(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
         other.hear(claim)
--- a/tests/test_lease_histories.py
+++ b/tests/test_lease_histories.py
@@ -1,7 +1,8 @@
-"""Every short history of two VMs that restart, against rules of first orders.
+"""Tests the wait before first orders in all short histories of two VMs.
 
-A new process orders nothing for a lease after its start. The histories show
-what that wait guards against: up to what a restart takes, no shorter one is safe.
+A new process sends no orders for a lease after its start. The histories show
+what that wait guards against: among waits up to the duration of a restart, none
+is safe.
 """
 
 from __future__ import annotations
@@ -10,17 +11,17 @@
 import unittest
 from dataclasses import dataclass, field
 
-# Ticks of half a second.
+# All times are in ticks of half a second.
 LEASE = 6
 LENGTH = 14
 LAST_KILL = 8
-DARK = (1, 2)
+DOWN_TICKS = (1, 2)
 VMS = (0, 1)
 
 
 @dataclass
 class Vm:
-    """One VM: when it is down, and what its process of the moment knows."""
+    """One VM: when it is down, and the state of its current process."""
 
     name: int
     down: frozenset[int]
@@ -28,41 +29,42 @@
     owner: int | None = None
     orders: list[int] = field(default_factory=list)
 
-    def lives(self, tick: int) -> bool:
-        """Tell whether its process runs."""
+    def is_running(self, tick: int) -> bool:
+        """Return whether the process of the VM runs."""
         return tick not in self.down
 
 
 def schedules() -> list[frozenset[int]]:
-    """Give every way in which one VM is down at most twice."""
+    """Return all schedules in which one VM is down at most twice."""
     spans = [
-        frozenset(range(begin, begin + dark))
+        frozenset(range(begin, begin + down_ticks))
         for begin in range(1, LAST_KILL)
-        for dark in DARK
+        for down_ticks in DOWN_TICKS
     ]
     pairs = itertools.combinations(spans, 2)
     return [frozenset(), *spans, *(one | other for one, other in pairs)]
 
 
-def play(schedule, wait):
-    """Give the VMs that ordered, by tick, in one history.
+def simulate(schedule, wait):
+    """Return the orders of one history as pairs of tick and VM.
 
-    A claim stays with its VM while that lives. A survivor follows an owner
-    that has ended at once; where none is left, the heaviest VM follows.
+    A claim remains with its VM while that VM is alive. When the owner ends, a
+    survivor takes over immediately; without a known live owner, the first VM
+    in rank does.
 
     :param wait: ticks without orders after the start of a process
     """
     vms = [Vm(name, down) for name, down in zip(VMS, schedule, strict=True)]
     orders = []
     for tick in range(LENGTH):
-        present = [vm for vm in vms if vm.lives(tick)]
+        present = [vm for vm in vms if vm.is_running(tick)]
         for vm in present:
-            if not vm.lives(tick - 1):
+            if not vm.is_running(tick - 1):
                 vm.since = tick
                 vm.owner = None
         known = {vm.owner for vm in present} - {None}
-        living = {vm.name for vm in present}
-        owner = min(known & living or living, default=None)
+        running_names = {vm.name for vm in present}
+        owner = min(known & running_names or running_names, default=None)
         for vm in present:
             vm.owner = owner
             started = vm.since > 0
@@ -72,8 +74,8 @@
     return orders
 
 
-def takes_turns(orders):
-    """Tell whether a VM orders again within a lease behind another one."""
+def holders_alternate(orders):
+    """Return whether two VMs alternate in orders within a lease."""
     for (first, vm), (_between, other), (last, again) in itertools.combinations(
         orders, 3
     ):
@@ -82,28 +84,30 @@
     return False
 
 
-def broken(wait):
-    """Give the histories in which two VMs take turns."""
-    every = itertools.product(schedules(), repeat=len(VMS))
-    return [one for one in every if takes_turns(play(one, wait))]
+def unsafe_histories(wait):
+    """Return the histories in which two VMs alternate within a lease."""
+    histories = itertools.product(schedules(), repeat=len(VMS))
+    return [one for one in histories if holders_alternate(simulate(one, wait))]
 
 
 class TestLeaseHistories(unittest.TestCase):
-    """Two VMs, each down at most twice, one engine."""
+    """Tests of two VMs, each down at most twice, and one engine."""
 
     def test_lease_from_the_start_of_the_process_is_safe(self):
-        """Guards against two holders that take turns after restarts."""
-        self.assertEqual(broken(LEASE), [])
+        """Guards against two holders that alternate after restarts."""
+        self.assertEqual(unsafe_histories(LEASE), [])
 
-    def test_no_shorter_wait_is(self):
+    def test_no_shorter_wait_is_safe(self):
         """Guards against a shorter wait that looks safe in most histories."""
         for wait in range(LEASE // 2 + 1):
-            self.assertNotEqual(broken(wait), [], wait)
+            self.assertNotEqual(unsafe_histories(wait), [], wait)
 
-    def test_loss_of_all_soon_after_a_takeover_breaks_a_shorter_wait(self):
-        """Guards against first orders at once where all VMs began anew."""
+    def test_loss_of_all_vms_after_a_takeover_needs_a_wait(self):
+        """Guards against immediate first orders after all VMs restarted."""
         ended_first = frozenset({3, 5})
         ended_then = frozenset({5})
-        orders = play((ended_first, ended_then), 0)
-        self.assertTrue(takes_turns(orders), orders)
-        self.assertFalse(takes_turns(play((ended_first, ended_then), LEASE)))
+        orders = simulate((ended_first, ended_then), 0)
+        self.assertTrue(holders_alternate(orders), orders)
+        self.assertFalse(
+            holders_alternate(simulate((ended_first, ended_then), LEASE))
+        )
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders of two VMs to one engine never take turns within a lease."""
+"""Tests that two VMs never alternate in orders to an engine in a lease."""
 
 from __future__ import annotations
 
@@ -10,37 +10,38 @@
 
 
 class TestOrderChain(TimedTestCase):
-    """What one VM may order, by what it knows."""
+    """Tests when a VM may send an order, given the reports that it has read."""
 
     def setUp(self) -> None:
-        """Start with a chain that knows nothing."""
+        """Create a chain that has read no report."""
         super().setUp()
         self.chain = OrderChain(LEASE, LAG, stands_down_until=0)
 
-    def test_nothing_before_a_report(self):
+    def test_no_order_before_a_report(self):
         self.assertFalse(self.chain.may_order())
 
-    def test_engine_that_obeyed_nobody(self):
+    def test_engine_without_accepted_orders(self):
         self.chain.note_report(report(0))
         self.assertTrue(self.chain.may_order())
 
-    def test_quiet_lease_before_takeover(self):
+    def test_takeover_after_a_lease_without_orders(self):
         self.chain.note_report(report(7))
         self.assertFalse(self.chain.may_order())
         self.advance(LEASE + LAG + 0.1)
         self.assertTrue(self.chain.may_order())
 
-    def test_ended_predecessor_is_not_waited_for(self):
+    def test_takeover_after_an_ended_predecessor(self):
         self.chain.predecessor_ended = True
         self.chain.note_report(report(7))
         self.assertTrue(self.chain.may_order())
 
-    def test_last_order_of_an_ended_predecessor_is_not_another_owners(self):
-        """The owner is killed right after an order; its successor looks.
+    def test_last_order_of_an_ended_predecessor_is_not_foreign(self):
+        """The owner is killed right after an order.
 
-        The report does not show that order yet. When it did, the successor
-        took it for a living owner's, and the engine's callers got no load
-        for more than a lease.
+        The first report that its successor reads does not show that order
+        yet. When a later one does, the successor must not take it for an
+        order of a live owner, or the engine's callers would get no load for
+        more than a lease.
         """
         self.chain.predecessor_ended = True
         self.chain.note_report(report(7))
@@ -49,16 +50,19 @@
         self.assertFalse(self.chain.note_report(report(8)))
         self.assertTrue(self.chain.may_order())
 
-    def test_orders_that_go_on_are_another_owners(self):
-        """An owner that was thought to have ended goes on ordering."""
+    def test_continued_orders_are_those_of_another_owner(self):
+        """An owner that was considered ended continues to send orders."""
         self.chain.predecessor_ended = True
         self.chain.note_report(report(7))
         self.advance(2)
         self.chain.note_report(report(8))
         self.assertFalse(self.chain.may_order())
 
-    def test_order_that_was_none_to_the_engine(self):
-        """Guards against an owner that is refused every order for good."""
+    def test_order_that_the_engine_did_not_count(self):
+        """An order that the engine did not count is removed from the count.
+
+        Otherwise the engine would refuse every later order of the owner.
+        """
         self.chain.note_report(report(7))
         self.advance(LEASE + LAG + 0.1)
         self.chain.note_accepted()
@@ -71,7 +75,10 @@
         self.assertFalse(self.chain.note_report(report(8)))
 
     def test_late_report_does_not_correct_the_count(self):
-        """Guards against our own last order taken for another owner's."""
+        """A report that precedes the last order must not correct the count.
+
+        Otherwise the VM would take its own order for another owner's.
+        """
         self.chain.note_report(report(7))
         self.advance(LEASE + LAG + 0.1)
         self.chain.note_accepted()
@@ -87,18 +94,18 @@
         self.assertFalse(self.chain.note_report(report(1)))
         self.assertTrue(self.chain.may_order())
 
-    def test_late_report_is_no_foreign_order(self):
+    def test_late_report_is_not_a_foreign_order(self):
         self.chain.note_report(report(0))
         self.chain.note_accepted()
         self.chain.note_accepted()
         self.assertFalse(self.chain.note_report(report(1)))
         self.assertEqual(self.chain.sequence, 2)
 
-    def test_foreign_order_stands_down_for_more_than_a_lease(self):
-        """Another VM took the engine over while this one could not be heard.
+    def test_foreign_order_pauses_for_more_than_a_lease(self):
+        """Another VM took over the engine while this one was partitioned.
 
-        If both went on, each would undo the other's loads, and the engine
-        would count two holders that take turns.
+        If both sent orders, each would undo the other's loads, and the engine
+        would see two holders alternate.
         """
         self.chain.note_report(report(0))
         self.chain.note_accepted()
@@ -109,11 +116,11 @@
         self.advance(LEASE)
         self.assertTrue(self.chain.may_order())
 
-    def test_unanswered_order_that_was_taken(self):
-        """The answer to an order was lost on its way.
+    def test_unanswered_order_that_was_accepted(self):
+        """The answer to an accepted order is lost.
 
-        Counting it as refused, the next order would name the wrong count and
-        the owner would stand down for seconds because of its own order.
+        If the order counted as refused, the next one would name a wrong
+        count, and the owner would pause for seconds due to its own order.
         """
         self.chain.note_report(report(0))
         self.chain.note_accepted()
@@ -124,7 +131,7 @@
         self.assertTrue(self.chain.may_order())
         self.assertEqual(self.chain.sequence, 2)
 
-    def test_unanswered_order_that_was_not_taken(self):
+    def test_unanswered_order_that_was_not_accepted(self):
         self.chain.note_report(report(0))
         self.chain.note_unanswered()
         self.advance(2 * LAG + 0.1)
@@ -140,7 +147,7 @@
         self.chain.note_report(report(0))
         self.assertTrue(self.chain.may_order())
 
-    def test_restarted_engine_begins_anew(self):
+    def test_restarted_engine_resets_the_chain(self):
         self.chain.note_report(report(5))
         self.chain.restart()
         self.chain.note_report(report(0))
--- a/tests/test_owned_groups.py
+++ b/tests/test_owned_groups.py
@@ -1,4 +1,4 @@
-"""When a VM may order the engines of a group that it has taken up again."""
+"""Tests when a VM may send orders to the engines of a group it acquires."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 LEASE = 3.0
 
 
-class StillEngine:
-    """An engine that others have ordered before."""
+class OrderedEngine:
+    """An engine that has accepted orders of other VMs."""
 
     async def report(self):
-        """Show seven orders."""
+        """Return a report with seven accepted orders."""
         return report(7)
 
 
-class TestTakingUpAgain(TimedTestCase):
-    """One VM that loses a group and gets it back."""
+class TestAcquisition(TimedTestCase):
+    """Tests of a VM that claims, loses or reacquires a group."""
 
     def setUp(self) -> None:
-        """Start as the VM whose turn it is to claim."""
+        """Create the VM that should claim the group."""
         super().setUp()
         self.revision = 7
         self.catalogue = Catalogue(lambda document: document)
@@ -43,7 +43,7 @@
             1, {}, {service.name: service}
         )
         self.catalogue._take_upstream(upstream('engine-0'))
-        self.claims = self._claims_of_claimer()
+        self.claims = self._claims_of_candidate()
         self.owned = OwnedGroups(
             GatewaySettings(),
             self.claims.members,
@@ -52,45 +52,46 @@
             Shards(self.catalogue),
             self._revision,
             self._probe,
-            lambda _upstream: StillEngine(),
+            lambda _upstream: OrderedEngine(),
             self.moment,
         )
 
     async def _revision(self):
-        """Give the revision that the store has now, if it answers."""
+        """Return the revision of the store, or None without an answer."""
         return self.revision
 
     async def _probe(self, _vm):
-        """Learn nothing new of a VM."""
+        """Do nothing."""
 
-    def _claims_of_claimer(self):
+    def _claims_of_candidate(self):
         tables = [table_of(vm) for vm in VMS]
-        every = [GroupClaims(members, self.moment) for members in tables]
+        all_claims = [GroupClaims(members, self.moment) for members in tables]
         self.advance(2)
-        return next(one for one in every if one.should_claim(GROUP))
+        return next(one for one in all_claims if one.should_claim(GROUP))
 
     async def reconcile(self):
-        """Let the VM look at its groups."""
-        await self.owned.reconcile(self._tell)
+        """Let the VM reconcile its groups."""
+        await self.owned.reconcile(self._discard)
 
-    async def _tell(self, _rumour):
-        """Tell nobody."""
+    async def _discard(self, _rumour):
+        """Discard a rumour."""
 
-    def orders_after(self):
-        """Give the seconds until the VM may order."""
+    def seconds_until_orders(self):
+        """Return the seconds until the VM may send orders."""
         engine = self.owned.find(GROUP).engines.engines_by_id['engine-0']
         return engine.ledger.chain.stands_down_until - self.moment
 
-    def test_nothing_is_ordered_within_a_lease_of_losing_it(self):
-        """Another VM claims the group, then ends, and this one is next.
+    def test_no_orders_within_a_lease_of_losing_the_group(self):
+        """Another VM claims the group and ends, so this VM acquires it again.
 
-        Ordering at once, the two would have taken turns within a lease.
+        If it sent orders immediately, the engine would see the two VMs
+        alternate within a lease.
         """
 
         async def scenario():
             self.advance(10)
             await self.reconcile()
-            self.assertLessEqual(self.orders_after(), 0)
+            self.assertLessEqual(self.seconds_until_orders(), 0)
             other = next(v for v in VMS if v != self.claims.members.own_id)
             self.claims.hear(OwnerRumour(GROUP, other, 1, 99))
             await self.reconcile()
@@ -98,16 +99,16 @@
             self.advance(0.5)
             self.claims.members.by_id[other].note_end(1)
             await self.reconcile()
-            self.assertGreater(self.orders_after(), LEASE - 0.5)
+            self.assertGreater(self.seconds_until_orders(), LEASE - 0.5)
             await self.owned.close()
 
         curio.run(scenario)
 
-    def test_engine_that_comes_later_sees_a_higher_fence(self):
-        """An engine comes from a group whose claim is newer than ours.
+    def test_engine_added_later_sees_a_higher_fence(self):
+        """An engine moves here from a group with a newer claim.
 
-        With the number of our claim it would see a lower fencing number
-        after a higher one.
+        With the number of the local claim it would see a lower fencing
+        number after a higher one.
         """
 
         async def scenario():
@@ -126,11 +127,11 @@
 
         curio.run(scenario)
 
-    def test_claim_without_the_store_orders_nothing_yet(self):
-        """The store is away for a VM that takes over a group.
+    def test_no_orders_after_a_claim_without_the_store(self):
+        """A VM takes over a group while the store is unavailable.
 
-        The owner before had taken a number from the store and told nobody,
-        so an order with the number of the new claim was lower.
+        The previous owner may have read a higher epoch from the store without
+        announcing it, so the number of the new claim could be too low.
         """
 
         async def scenario():
@@ -146,12 +147,12 @@
 
         curio.run(scenario)
 
-    def test_planned_handover_while_the_store_is_away(self):
-        """The owner leaves for a new release, and the store is silent.
+    def test_planned_handover_while_the_store_is_unavailable(self):
+        """The owner leaves for a new release while the store does not answer.
 
-        Its successor did not know whether a higher fencing number had been
-        taken from the store, and ordered nothing until that came back. Every
-        request for an adapter that was not loaded yet was refused meanwhile.
+        The owner has announced its epoch, so its successor must not wait for
+        the store to rule out a higher one. If it did, each request for an
+        adapter that is not loaded would be refused until the store returns.
         """
 
         async def scenario():
@@ -169,46 +170,46 @@
 
         curio.run(scenario)
 
-    def test_number_that_was_found_after_the_claim_is_told(self):
-        """An owner takes a fencing number from the store and leaves.
+    def test_epoch_raised_after_the_claim_is_announced(self):
+        """An owner reads an epoch from the store after its claim and leaves.
 
-        Nobody else knew of it. While the store is away its successor cannot
-        look there, and an engine would see a lower number.
+        If it did not announce the epoch, its successor could not learn it
+        while the store is unavailable, and an engine would see a lower number.
         """
 
         async def scenario():
-            told = []
+            announced = []
 
-            async def tell(rumour):
-                told.append(rumour.epoch)
+            async def announce(rumour):
+                announced.append(rumour.epoch)
 
             self.advance(10)
-            await self.owned.reconcile(tell)
+            await self.owned.reconcile(announce)
             self.revision = 300
             self.advance(1)
             await self.owned.find(GROUP).fences.found_after(self.moment - 1)
-            await self.owned.announce_raised_epochs(tell)
-            self.assertEqual(told[-1], 300)
+            await self.owned.announce_raised_epochs(announce)
+            self.assertEqual(announced[-1], 300)
             self.assertEqual(self.claims.by_group[GROUP].epoch, 300)
             await self.owned.close()
 
         curio.run(scenario)
 
-    def test_claim_that_came_while_the_store_was_asked_holds(self):
+    def test_claim_received_during_a_store_query_holds(self):
         """Two VMs find a group without an owner within milliseconds.
 
-        Both asked the store for its revision; the second then outbid the
-        first, and the group changed its owner once more.
+        Both query the store for its revision. If the second then outbid the
+        first, the group would change its owner again.
         """
 
         async def scenario():
             other = next(v for v in VMS if v != self.claims.members.own_id)
 
-            async def hear_a_claim():
+            async def receive_claim():
                 self.claims.hear(OwnerRumour(GROUP, other, 1, 50))
                 return 60
 
-            self.owned._fresh_revision = hear_a_claim
+            self.owned._fresh_revision = receive_claim
             self.advance(10)
             await self.reconcile()
             self.assertEqual(self.claims.owner(GROUP), other)
@@ -216,8 +217,8 @@
 
         curio.run(scenario)
 
-    def test_nothing_is_ordered_while_the_fence_is_unknown(self):
-        """A VM cut off from all others and from the store claims the engines.
+    def test_no_orders_while_the_fence_is_unknown(self):
+        """A VM partitioned from all others and the store claims the engines.
 
         It may not know of an owner with a higher fencing number.
         """
@@ -255,7 +256,7 @@
 
         curio.run(scenario)
 
-    def test_groups_of_an_older_division_are_given_up(self):
+    def test_groups_of_an_older_division_are_released(self):
         async def scenario():
             self.advance(10)
             await self.reconcile()
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""What an owner does while more requests wait than its engines can serve."""
+"""Tests of a group owner whose engines are saturated."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 LONG = 1000.0
 
 
-class StillEngine:
+class SilentEngine:
     """An engine that never answers."""
 
     async def report(self):
@@ -34,16 +34,16 @@
 
 
 async def no_revision():
-    """Give no revision."""
+    """Return None, as a store that does not answer."""
 
 
 class OwnerTestCase(TimedTestCase):
-    """An owner of some engines, each with eight slots."""
+    """Provides an owner of two engines with eight slots each."""
 
     engine_count = 2
 
-    async def own(self):
-        """Own engines that hold the base model and nothing else."""
+    async def owner_of_engines(self):
+        """Return an owner of engines that hold the base model only."""
         catalogue = Catalogue(lambda document: document)
         owner = GroupOwner(
             GatewaySettings(),
@@ -51,7 +51,7 @@
             VM,
             Fences(VM, no_revision, 1),
             catalogue,
-            lambda _upstream: StillEngine(),
+            lambda _upstream: SilentEngine(),
         )
         listed = [upstream(f'engine-{n}') for n in range(self.engine_count)]
         for one in listed:
@@ -64,7 +64,7 @@
         return owner
 
     async def fill(self, owner):
-        """Let a request run on each adapter of each engine."""
+        """Fill each slot with an adapter that is in use by one request."""
         places = []
         for engine in owner.engines.ledgers():
             for number in range(TRAITS.adapter_slots):
@@ -75,10 +75,13 @@
 
 
 class TestWaiting(OwnerTestCase):
-    """Hundreds wait for a slot."""
+    """Tests of requests that are queued for a slot."""
 
-    def choices_of_one_request(self, waiting):
-        """Count how often an engine is chosen from asking to giving back."""
+    def count_choices_of_one_request(self, waiting):
+        """Count the choices of an engine from the request to its end.
+
+        :param waiting: number of requests that are queued beforehand
+        """
         chosen = []
         choose = dispatch.choose
 
@@ -87,7 +90,7 @@
             return choose(*arguments)
 
         async def scenario():
-            owner = await self.own()
+            owner = await self.owner_of_engines()
             await self.fill(owner)
             for number in range(waiting):
                 request = ask(f'cold-{number}', 100 + number, patience=LONG)
@@ -104,28 +107,28 @@
             dispatch.choose = choose
         return len(chosen)
 
-    def test_a_place_costs_no_more_while_many_wait(self):
-        """A burst leaves hundreds of requests that wait for a slot.
+    def test_cost_of_a_place_is_independent_of_queue_length(self):
+        """The cost of a place must not grow with the length of the queue.
 
-        Each place that was given or ended had the owner look at all of them.
-        It came late to every caller, those asked again, and it never
-        recovered while the load lasted.
+        If each grant or release of a place scanned hundreds of queued
+        requests, the owner would answer late, callers would retry, and the
+        owner would not recover while the load lasts.
         """
-        at_rest = self.choices_of_one_request(0)
+        at_rest = self.count_choices_of_one_request(0)
         for waiting in (20, 200):
             self.assertLessEqual(
-                self.choices_of_one_request(waiting), at_rest + 3
+                self.count_choices_of_one_request(waiting), at_rest + 3
             )
 
-    def test_first_who_waits_after_a_quiet_time_is_not_late(self):
-        """The engines were idle for a while, then all slots are taken.
+    def test_first_queued_request_after_an_idle_period_is_not_late(self):
+        """An idle period must not count as a time without released places.
 
-        The first request that had to wait was put behind all others, as the
-        quiet time looked as if no place had come free for as long.
+        Otherwise, once all slots are taken, the first queued request would be
+        considered late and ranked last.
         """
 
         async def scenario():
-            owner = await self.own()
+            owner = await self.owner_of_engines()
             self.advance(30)
             await self.fill(owner)
             request = ask('cold', 100, target=10)
@@ -136,9 +139,9 @@
 
         curio.run(scenario)
 
-    def test_slot_that_comes_free_goes_to_the_first(self):
+    def test_released_slot_goes_to_the_first_in_the_queue(self):
         async def scenario():
-            owner = await self.own()
+            owner = await self.owner_of_engines()
             places = await self.fill(owner)
             waiting = [ask(f'cold-{n}', 100 + n, patience=LONG) for n in (0, 1)]
             for request in waiting:
@@ -152,14 +155,14 @@
 
         curio.run(scenario)
 
-    def test_those_who_wait_for_one_adapter_go_on_together(self):
-        """Several requests wait for the same adapter.
+    def test_requests_for_the_same_adapter_are_granted_together(self):
+        """One released slot serves all requests for the same adapter.
 
-        One slot serves all of them, whatever their turn.
+        This holds whatever their positions in the queue.
         """
 
         async def scenario():
-            owner = await self.own()
+            owner = await self.owner_of_engines()
             places = await self.fill(owner)
             for number, name in enumerate(('cold', 'other', 'cold')):
                 request = ask(name, 100 + number, patience=LONG)
@@ -172,14 +175,14 @@
 
         curio.run(scenario)
 
-    def test_urgent_request_goes_first_but_starves_nobody(self):
-        """Urgent requests alone exceed what the engines serve.
+    def test_urgent_request_is_first_without_starving_others(self):
+        """Urgent requests alone exceed the capacity of the engines.
 
-        With strict ranks the others would never get a place.
+        With strict priorities the other requests would starve.
         """
 
         async def scenario():
-            owner = await self.own()
+            owner = await self.owner_of_engines()
             places = await self.fill(owner)
             later = ask('patient', 100, patience=LONG, priority=2)
             await curio.spawn(owner.place, later, daemon=True)
@@ -207,30 +210,30 @@
 
 
 class UnreadConnection:
-    """A connection whose other end closed before its ask was read."""
+    """A connection whose peer closed it before its request was read."""
 
     def __init__(self, opened):
-        """Speak over ``opened``."""
+        """Use the socket ``opened``."""
         self.socket = opened
         self.sent = []
 
     async def send(self, message):
-        """Remember what is sent."""
+        """Record a sent message."""
         self.sent.append(message)
 
 
 class TestWithdrawal(OwnerTestCase):
-    """Callers who stop waiting for the owner."""
+    """Tests of callers that disconnect while they wait for the owner."""
 
-    def test_ask_that_nobody_waits_for_is_not_worked_on(self):
-        """An owner is late, and the VM that asked has given up meanwhile.
+    def test_ask_of_a_disconnected_vm_is_dropped(self):
+        """The asking VM disconnects before an overloaded owner reads its ask.
 
-        A place given now would be missing to those who still wait, and the
-        work for it would make the owner later still.
+        Granting a place then would take it from queued requests, and the work
+        would delay the owner further.
         """
 
         async def scenario():
-            owner = await self.own()
+            owner = await self.owner_of_engines()
             ours, theirs = curio.socket.socketpair()
             await theirs.close()
             server = PlaceServer(lambda _group: owner)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""How soon a site serves again after all of its VMs ended together."""
+"""Tests how soon a site serves again after all of its VMs ended together."""
 
 from __future__ import annotations
 
@@ -6,27 +6,30 @@
 
 from tests.rig.site import Site
 
-# What the users allow from the return of the VMs.
+# Required recovery time after the VMs are back.
 RECOVERY_SECONDS = 12.0
-# A new process orders nothing for a lease of three seconds, as the one before
-# it may have ordered a moment ago; finding each other and claiming comes first.
+# A new process sends no orders for a lease of three seconds, as the previous
+# one may have sent some just before it ended. Discovery and claims come first.
 LOADS_SECONDS = 5.0
 OK = 200
-DARK_SECONDS = (0.1, 0.5, 1.0, 2.0, 5.0)
+DOWN_SECONDS = (0.1, 0.5, 1.0, 2.0, 5.0)
 
 
 class TestRecovery(unittest.TestCase):
-    """All processes are killed, and started again a while later."""
+    """Tests in which all processes are killed and later restarted."""
 
-    def play(self, dark: float) -> tuple[float, float]:
-        """Give the seconds until a held and a new adapter are served."""
+    def recovery_seconds(self, down_seconds: float) -> tuple[float, float]:
+        """Return the seconds until a held and a new adapter are served.
+
+        :param down_seconds: time between the end and the start of the VMs
+        """
         site = Site.started(4, engines=2, slots=3)
         try:
             for name in ('a', 'b'):
                 site.send('vm-0', site.chat(name))
             for vm_id in site.vms_by_id:
                 site.kill(vm_id)
-            site.world.advance(dark)
+            site.world.advance(down_seconds)
             for vm_id in site.vms_by_id:
                 site.start(vm_id)
             began = site.world.monotonic()
@@ -38,9 +41,9 @@
             site.close()
 
     def until_served(self, site: Site, adapter: str) -> float:
-        """Ask again and again; give the moment of the first whole answer."""
+        """Retry until a request succeeds; return the time of its response."""
         for _try in range(100):
-            # A process that has just been started does not listen yet.
+            # A process that has just been started may not listen yet.
             answer = site.wait(site.begin('vm-1', site.chat(adapter)))
             if getattr(answer, 'status', 0) == OK:
                 break
@@ -48,22 +51,25 @@
         return site.world.monotonic()
 
     def test_site_serves_again_in_time(self):
-        """All VMs of a site lose power at once and come back together.
+        """All VMs of a site lose power at once and return together.
 
-        Nothing of theirs lasts, so all that they serve by has to be read,
-        agreed on and claimed anew while callers wait.
+        They have no persistent state, so the documents, the members and the
+        claims have to be established again while callers wait.
         """
-        for dark in DARK_SECONDS:
-            held, new = self.play(dark)
-            self.assertLess(held, LOADS_SECONDS, f'dark for {dark} s')
-            self.assertLess(new, LOADS_SECONDS + 1, f'dark for {dark} s')
+        for down_seconds in DOWN_SECONDS:
+            held, new = self.recovery_seconds(down_seconds)
+            self.assertLess(held, LOADS_SECONDS, f'dark for {down_seconds} s')
+            self.assertLess(
+                new, LOADS_SECONDS + 1, f'dark for {down_seconds} s'
+            )
             self.assertLess(new, RECOVERY_SECONDS)
             print(
-                f'\ndark {dark} s: held {held:.2f} s, new {new:.2f} s', end=''
+                f'\ndark {down_seconds} s: held {held:.2f} s, new {new:.2f} s',
+                end='',
             )
 
-    def test_callers_of_a_site_without_its_store_come_back_spread(self):
-        """Guards against a return before the store can have come back."""
+    def test_retries_at_a_site_without_its_store_are_spread(self):
+        """Guards against retries before the store can be reachable again."""
         site = Site.started(2, engines=1)
         self.addCleanup(site.close)
         for vm_id in site.vms_by_id:
@@ -80,7 +86,7 @@
         self.assertLess(max(waits), 3)
 
     def test_first_requests_after_a_start_are_served(self):
-        """Guards against a refusal a moment before the first reading."""
+        """Guards against a refusal shortly before the first read completes."""
         site = Site.started(2, engines=1)
         self.addCleanup(site.close)
         site.links.partition(site.vms_by_id, ['store'])
@@ -88,7 +94,7 @@
             site.kill(vm_id)
             site.start(vm_id)
         site.world.advance(0.001)
-        begun = site.begin('vm-1', site.call('/reads/1'))
+        request = site.begin('vm-1', site.call('/reads/1'))
         site.world.advance(0.05)
         site.links.heal()
-        self.assertEqual(site.wait(begun).status, OK)
+        self.assertEqual(site.wait(request).status, OK)
--- a/tests/test_site_faults.py
+++ b/tests/test_site_faults.py
@@ -1,4 +1,4 @@
-"""Whole daemons under random faults, and checks that can fail."""
+"""Tests of whole daemons under random faults, and of the checks themselves."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 from tests.rig.site_faults import FaultySite
 
 STEPS = 25
-# Seeds that found faults: 1 and 8 two owners in a split fleet, the older of
-# which ordered with a lower fencing number; 6 an owner without one; 3 a claim
-# that was heard before its VM was known; 26 restarted VMs that never heard
-# of each other; 71 two owners that loaded the same adapter at the same moment.
+# Seeds that found faults: 1 and 8 two owners in a partitioned fleet, the older
+# of which sent orders with a lower fencing number; 6 an owner without a fencing
+# number; 3 a claim that was received before its VM was known; 26 restarted VMs
+# that never discovered each other; 71 two owners that loaded the same adapter
+# at the same time.
 SEEDS = (1, 2, 3, 6, 8, 26, 71)
 
 
 def play(seed: int) -> list[str]:
-    """Play one seed; give the promises that were broken."""
+    """Run the faults of one seed and return the violations."""
     faulty = FaultySite(seed)
     try:
         faulty.play(STEPS)
@@ -31,34 +32,35 @@
 
 
 class TestRandomFaults(unittest.TestCase):
-    """Cuts, kills, pauses and lost orders at any moment."""
+    """Tests with partitions, kills, pauses and lost orders at any time."""
 
     def test_promises_hold(self):
-        """Faults come alone and together while requests go on.
+        """Faults occur alone and together while requests are sent.
 
-        Whatever they do, no engine sees two holders take turns within a
-        lease, a lower fencing number, or more adapters than fit; no order
-        runs twice or ran and was called not run; and all is served again.
+        No engine may see two holders alternate within a lease, a lower
+        fencing number, or more adapters than fit. No order may run twice, or
+        run although its caller was told that it did not. After the faults,
+        all requests must be served again.
         """
-        broken = {seed: play(seed) for seed in SEEDS}
-        self.assertEqual(broken, dict.fromkeys(SEEDS, []))
+        violations = {seed: play(seed) for seed in SEEDS}
+        self.assertEqual(violations, dict.fromkeys(SEEDS, []))
 
 
 class TestMutations(unittest.TestCase):
-    """Each safeguard that is taken out is noticed."""
+    """Tests that the checks detect each removed safeguard."""
 
     def find(self, mutation):
-        """Give what the first seed that notices says."""
+        """Return the violations of the first seed that has any."""
         mutation.start()
         self.addCleanup(mutation.stop)
         for seed in range(1, 61):
-            broken = play(seed)
-            if broken:
-                return broken
+            violations = play(seed)
+            if violations:
+                return violations
         return []
 
     def test_order_without_waiting(self):
-        """A new owner orders as soon as it has read a report."""
+        """A new owner sends orders as soon as it has read a report."""
 
         def at_once(chain):
             return chain.sequence is not None and not chain.unanswered
@@ -67,16 +69,16 @@
         self.assertTrue(any('turns' in one for one in found), found)
 
     def test_fence_of_the_claim_alone(self):
-        """A number is not looked for again when somebody else has ordered."""
+        """No new number is read after another VM has sent an order."""
 
-        async def claimed(fences, _moment):
+        async def claimed(fences, _since):
             return fences.claimed
 
         found = self.find(mock.patch.object(Fences, 'found_after', claimed))
         self.assertTrue(any('fence' in one for one in found), found)
 
     def test_engine_that_is_ordered_without_its_count(self):
-        """An engine takes any order, whatever count it names."""
+        """An engine accepts any order, whatever count it names."""
 
         async def obey_all(engine, order):
             return await obey(
@@ -90,7 +92,7 @@
         self.assertNotEqual(found, [])
 
     def test_claim_with_an_old_epoch(self):
-        """A claim does not exceed those that were heard of."""
+        """The epoch of a claim does not exceed the known ones."""
         true_claim = GroupClaims.claim
 
         def old_claim(claims, group, _revision):
@@ -103,13 +105,13 @@
 
 
 def main() -> int:
-    """Play the seeds between two numbers, by hand."""
+    """Run the seeds of a range given on the command line."""
     first, last = (int(text) for text in sys.argv[1:])
     failed = 0
     for seed in range(first, last + 1):
-        broken = play(seed)
-        failed += bool(broken)
-        print(seed, broken or 'ok', flush=True)
+        violations = play(seed)
+        failed += bool(violations)
+        print(seed, violations or 'ok', flush=True)
     return failed
 
 
