--- a/flamingovalve/gateway/__init__.py
+++ b/flamingovalve/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Serving published routes: each request to an upstream that may run it."""
+"""Gateway that routes requests of published routes to their upstreams."""
--- a/flamingovalve/gateway/calls.py
+++ b/flamingovalve/gateway/calls.py
@@ -1,4 +1,4 @@
-"""Serves calls of plain services: one upstream at a time, by its load."""
+"""Serves calls of plain services through load-balanced upstreams."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CallServer:
-    """Serves calls, each answered whole."""
+    """Serves calls whose response is read completely before it is returned."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         relay: UpstreamRelay,
         attempts: Attempts,
     ) -> None:
-        """Serve by what ``catalogue`` knows."""
+        """Serve through the upstreams in ``catalogue``."""
         self._catalogue = catalogue
         self._balancer = balancer
         self._relay = relay
@@ -40,43 +40,43 @@
     ) -> None:
         """Serve one call.
 
-        :raises ServingError: when no upstream answered it
+        :raises ServingError: if no upstream returned a response
         """
-        last = await self._send_until_answered(request)
-        if last is None:
+        sent = await self._send_until_answered(request)
+        if sent is None:
             raise no_upstream(request.service)
-        if last.response is None:
-            raise settle(request, last.outcome)
-        await responder.send(last.response)
+        if sent.response is None:
+            raise settle(request, sent.outcome)
+        await responder.send(sent.response)
 
     async def _send_until_answered(
         self,
         request: InboundRequest,
     ) -> Sent | None:
-        last: Sent | None = None
-        for _send in range(MOST_SENDS):
-            upstream = self._choose(request)
+        sent: Sent | None = None
+        for _attempt in range(MOST_SENDS):
+            upstream = self._choose_upstream(request)
             if upstream is None:
                 break
-            last = await self._send(request, upstream)
-            if not self._attempts.may_repeat(request, last):
+            sent = await self._send_once(request, upstream)
+            if not self._attempts.may_repeat(request, sent):
                 break
-        return last
+        return sent
 
-    def _choose(self, request: InboundRequest) -> Upstream | None:
+    def _choose_upstream(self, request: InboundRequest) -> Upstream | None:
         upstreams = self._catalogue.upstreams(request.service)
         avoided = {*request.tried, *request.refused_by}
         return self._balancer.choose(upstreams, avoided)
 
-    async def _send(
+    async def _send_once(
         self,
         request: InboundRequest,
         upstream: Upstream,
     ) -> Sent:
-        sending = Sending(request.remaining())
+        options = Sending(request.remaining())
         self._balancer.started(upstream.id)
         try:
-            sent = await self._relay.whole(request, upstream, sending)
+            sent = await self._relay.exchange(request, upstream, options)
         except BaseException:
             self._balancer.abandoned(upstream.id)
             raise
@@ -84,6 +84,9 @@
         if sent.outcome is Outcome.DONE:
             self._balancer.succeeded(upstream.id)
         else:
-            silent = sent.outcome in {Outcome.UNREACHABLE, Outcome.TIMED_OUT}
-            self._balancer.failed(upstream.id, unreachable=silent)
+            is_unresponsive = sent.outcome in {
+                Outcome.UNREACHABLE,
+                Outcome.TIMED_OUT,
+            }
+            self._balancer.failed(upstream.id, unreachable=is_unresponsive)
         return sent
--- a/flamingovalve/gateway/completions.py
+++ b/flamingovalve/gateway/completions.py
@@ -1,4 +1,4 @@
-"""Serves completions: a place on an engine, then its events as they come."""
+"""Serves completions: obtains a place on an engine and streams its events."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class CompletionServer:
-    """Serves completions on the engines of their service."""
+    """Serves completions on the engines of a service."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         finder: PlaceFinder,
         places: PlaceClient,
     ) -> None:
-        """Serve from a VM in ``domain``."""
+        """Serve from a VM in the failure domain ``domain``."""
         self._domain = domain
         self._catalogue = catalogue
         self._relay = relay
@@ -57,47 +57,48 @@
     ) -> None:
         """Serve one completion.
 
-        :raises ServingError: when no engine ran it
-        :raises ConnectionLost: when its stream broke and cannot go on
+        :raises ServingError: if no engine completed it before the response
+            was started
+        :raises ConnectionLost: if the stream broke and could not be resumed
         """
         resumable = request.route.repeat is Repeat.RESUMABLE
         sink = EventSink(responder, whole_events=resumable)
-        ask = self._ask_of(request, completion)
-        last = await self._send_until_answered(request, ask, sink)
-        if last.outcome is Outcome.DONE:
+        place_ask = self._place_ask_of(request, completion)
+        sent = await self._send_until_answered(request, place_ask, sink)
+        if sent.outcome is Outcome.DONE:
             await responder.end()
         elif sink.started:
-            raise ConnectionLost('the stream ended before its last event')
-        elif last.response is None:
-            raise settle(request, last.outcome)
+            raise ConnectionLost('the stream broke before its last event')
+        elif sent.response is None:
+            raise settle(request, sent.outcome)
         else:
-            await responder.send(last.response)
+            await responder.send(sent.response)
 
     async def _send_until_answered(
         self,
         request: InboundRequest,
-        ask: PlaceAsk,
+        place_ask: PlaceAsk,
         sink: EventSink,
     ) -> Sent:
-        last = await self._send(request, ask, sink)
-        for _send in range(1, MOST_SENDS):
-            if not self._attempts.may_repeat(request, last):
+        sent = await self._send_once(request, place_ask, sink)
+        for _attempt in range(1, MOST_SENDS):
+            if not self._attempts.may_repeat(request, sent):
                 break
-            last = await self._send(request, ask, sink)
-        return last
+            sent = await self._send_once(request, place_ask, sink)
+        return sent
 
-    async def _send(
+    async def _send_once(
         self,
         request: InboundRequest,
-        ask: PlaceAsk,
+        place_ask: PlaceAsk,
         sink: EventSink,
     ) -> Sent:
-        lease = await self._finder.take(request, ask)
+        lease = await self._finder.take(request, place_ask)
         outcome, first_event = PlaceOutcome.ABANDONED, 0.0
         try:
-            upstream = self._leased(request, lease)
-            sending = self._sending(request, lease, sink)
-            sent = await self._relay.stream(request, upstream, sending, sink)
+            upstream = self._upstream_of(request, lease)
+            options = self._options_of(request, lease, sink)
+            sent = await self._relay.stream(request, upstream, options, sink)
             outcome = _PLACE_OUTCOMES.get(sent.outcome, PlaceOutcome.FAILED)
             first_event = sent.first_event
         finally:
@@ -105,7 +106,7 @@
         await self._attempts.note(request, upstream, sent)
         return sent
 
-    def _sending(
+    def _options_of(
         self,
         request: InboundRequest,
         lease: PlaceLease,
@@ -115,10 +116,10 @@
             request.remaining(),
             request.priority,
             lease.grant.version,
-            sink.last_event,
+            sink.last_event_id,
         )
 
-    def _leased(
+    def _upstream_of(
         self,
         request: InboundRequest,
         lease: PlaceLease,
@@ -128,7 +129,7 @@
                 return upstream
         raise no_upstream(request.service)
 
-    def _ask_of(
+    def _place_ask_of(
         self,
         request: InboundRequest,
         completion: Completion,
--- a/flamingovalve/gateway/daemon.py
+++ b/flamingovalve/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""One VM that serves published routes: all its parts, put together."""
+"""The gateway daemon of one VM, composed of its components."""
 
 from __future__ import annotations
 
@@ -57,24 +57,26 @@
 logger = get_logger(__name__)
 
 _MICROSECONDS: Final = 1_000_000
-# Callers keep connections to a leaving VM; its answers ask them to close, and
-# those that stay idle are closed after this.
-_IDLE_CLOSE_SECONDS: Final = 1.0
-# By then every other VM has dropped this one from its answers and callers
-# that got an older answer have found the port closed or moved on.
-_LISTEN_SECONDS: Final = 2.0
+# Responses of a leaving VM ask callers to close their connections. Those that
+# are still open and idle after this time are closed.
+_IDLE_CLOSE_DELAY_SECONDS: Final = 1.0
+# A leaving VM accepts connections for this long, until every other VM has
+# removed it from its directory responses and callers that hold an older
+# response have switched to another VM.
+_ACCEPT_WHILE_LEAVING_SECONDS: Final = 2.0
 _GRACE_MARGIN_SECONDS: Final = 1.0
-_CLOSE_SECONDS: Final = 0.3
-_TICK_SECONDS: Final = 0.1
-# Callers queue for this long at most before the first configuration is known.
-_ACCEPT_WITHIN_SECONDS: Final = 0.2
-_ACCEPT_TICK_SECONDS: Final = 0.01
-# Claims that are repeated in each probe, for VMs that missed them.
-_STANDING_CLAIMS: Final = 2
+_MAX_CLOSE_SECONDS: Final = 0.3
+_LEAVE_POLL_SECONDS: Final = 0.1
+# Connections queue for at most this long until the first configuration is
+# known.
+_MAX_ACCEPT_DELAY_SECONDS: Final = 0.2
+_ACCEPT_POLL_SECONDS: Final = 0.01
+# Claims that are repeated in each probe, for VMs that have missed them.
+_REPEATED_CLAIMS_PER_PROBE: Final = 2
 
 
 class GatewayDaemon:
-    """Everything that one process does on a platform that publishes routes."""
+    """Runs all components of one gateway process."""
 
     def __init__(
         self,
@@ -85,11 +87,12 @@
         incarnation: Incarnation,
         started_at: float | None = None,
     ) -> None:
-        """Put the parts together; nothing runs yet.
+        """Create the components without starting them.
 
-        :param platform: speaks as the platform's callers do
-        :param started_at: when this process started, on our clock; now if
-            not given
+        :param platform: adapter to the formats of the users' platform
+        :param chance: source of random choices
+        :param started_at: start of this process in clock seconds; defaults to
+            the current time
         """
         self.started_at = clock.now() if started_at is None else started_at
         self.settings = settings
@@ -129,10 +132,11 @@
         seed: int | None = None,
         started_at: float | None = None,
     ) -> Self:
-        """Build the daemon of ``settings``.
+        """Create a daemon from its settings.
 
-        :param seed: of random choices; none for real randomness
-        :param started_at: when this process started, on our clock
+        :param seed: seed of the random choices; None for a random seed
+        :param started_at: start of this process in clock seconds; defaults to
+            the current time
         """
         settings.vm.id = VmId(settings.vm.peer_address)
         incarnation = Incarnation(int(clock.wall() * _MICROSECONDS))
@@ -172,15 +176,15 @@
             self.members,
             settings.gateway.addresses_per_domain,
         )
-        budget = FleetRetryBudget(
+        retry_budget = FleetRetryBudget(
             settings.gateway,
             lambda: len(self.members.present()),
         )
         self.quarantine = CrashQuarantine(
             settings.relay.quarantine_seconds,
-            self._refuses,
+            self._refuses_connections,
         )
-        attempts = Attempts(budget, self.quarantine)
+        attempts = Attempts(retry_budget, self.quarantine)
         relay = UpstreamRelay(self.pool, self.platform.wire)
         balancer = Balancer(domain, self.chance)
         calls = CallServer(self.catalogue, balancer, relay, attempts)
@@ -194,7 +198,7 @@
         )
         self.server = RequestServer(
             self.catalogue,
-            budget,
+            retry_budget,
             calls,
             self.completions,
             self.quarantine,
@@ -238,7 +242,7 @@
         )
         self.http = HttpServer(self.network, self.front.answer, limits)
         self.http.error_response = self.platform.error_response
-        side = SideAnswers(
+        side_answers = SideAnswers(
             self.platform,
             self.directory,
             settings.gateway.address_seconds,
@@ -246,7 +250,9 @@
             functools.partial(state_of, self),
             lambda: self.is_ready,
         )
-        self.side = HttpServer(self.network, side.answer, LimitSettings())
+        self.side = HttpServer(
+            self.network, side_answers.answer, LimitSettings()
+        )
         self.peer_server = PeerServer(self.network, settings, self.incarnation)
         place_server = PlaceServer(self.owned.find)
         on_session = self.peer_server.on_session
@@ -264,16 +270,16 @@
         self.gossip.rumour_listener = handlers.hear
         self.gossip.standing_rumours = self._standing_rumours
         self.gossip.late_listeners.append(self.owned.note_late_wakeup)
-        self.follower.listeners.append(self._published)
+        self.follower.listeners.append(self._on_configuration_change)
         self.follower.publish = self.gossip.push
         self.quarantine.publish = self.gossip.push
 
-    # -- Life
+    # -- Lifecycle
 
     async def run(self) -> None:
-        """Serve until :meth:`stop`, or until cancelled."""
+        """Serve until :meth:`stop` is called or the task is cancelled."""
         settings = self.settings
-        self._join()
+        self._open_membership()
         self.gossip.open(settings.vm.peer_address)
         try:
             await self._listen()
@@ -294,21 +300,21 @@
         await spawn(self.peer_server.serve, peer)
 
     async def _accept_callers(self) -> None:
-        """Accept callers once they can be answered, or soon at the latest.
+        """Accept callers once the fleet is known, or after a short delay.
 
-        Connections queue while this process starts. Answered before the
-        first configuration has been read, their requests would be refused,
-        and callers would be told of no VM but this one.
+        Connections queue while this process starts. Before the first
+        configuration has been read, requests would be refused, and the
+        directory would list no VM but this one.
         """
-        async with curio.ignore_after(_ACCEPT_WITHIN_SECONDS):
-            while not self._knows_fleet():
-                await curio.sleep(_ACCEPT_TICK_SECONDS)
+        async with curio.ignore_after(_MAX_ACCEPT_DELAY_SECONDS):
+            while not self._is_fleet_known():
+                await curio.sleep(_ACCEPT_POLL_SECONDS)
         spawn = self.background.spawn
         self._accepting = await spawn(self.http.serve, self._front_socket)
         for opened in self._side_sockets:
             await spawn(self.side.serve, opened)
 
-    def _knows_fleet(self) -> bool:
+    def _is_fleet_known(self) -> bool:
         is_alone = not self.settings.fleet.seeds
         return self.catalogue.is_ready and (
             is_alone or len(self.members.present()) > 1
@@ -323,7 +329,11 @@
         await self._accept_callers()
 
     async def begin_leaving(self) -> None:
-        """Leave the fleet: no new callers, finish what is in progress."""
+        """Announce that this VM leaves the fleet, then drain and stop it.
+
+        Connections are accepted for a short time more. Requests in progress
+        may finish within the grace period.
+        """
         if self.is_leaving:
             return
         self.is_leaving = True
@@ -335,27 +345,31 @@
         self.members.leave()
         await self.owned.close()
         await self.gossip.push(self.members.own_rumour())
-        await self.background.spawn(self._leave)
+        await self.background.spawn(self._drain_and_stop)
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop without waiting for requests in progress."""
         await self.stopped.set()
 
-    async def _leave(self) -> None:
-        began = clock.now()
+    async def _drain_and_stop(self) -> None:
+        leaving_since = clock.now()
         grace = self.settings.gateway.grace_seconds - _GRACE_MARGIN_SECONDS
-        await curio.sleep(_IDLE_CLOSE_SECONDS)
+        await curio.sleep(_IDLE_CLOSE_DELAY_SECONDS)
         await self.http.close_idle()
-        await curio.sleep(_LISTEN_SECONDS - _IDLE_CLOSE_SECONDS)
+        await curio.sleep(
+            _ACCEPT_WHILE_LEAVING_SECONDS - _IDLE_CLOSE_DELAY_SECONDS
+        )
         await self._accepting.cancel()
-        while self.front.in_progress and clock.now() < began + grace:
+        while self.front.in_progress and clock.now() < leaving_since + grace:
             await self.http.close_idle()
-            await curio.sleep(_TICK_SECONDS)
-        logger.info('this VM stops; in_progress={}', self.front.in_progress)
+            await curio.sleep(_LEAVE_POLL_SECONDS)
+        logger.info(
+            'this VM is stopping; in_progress={}', self.front.in_progress
+        )
         await self.stop()
 
     async def _close(self) -> None:
-        async with curio.ignore_after(_CLOSE_SECONDS):
+        async with curio.ignore_after(_MAX_CLOSE_SECONDS):
             await self._close_all()
 
     async def _close_all(self) -> None:
@@ -367,20 +381,20 @@
         await self.peers.close()
         await self.pool.close()
 
-    def _join(self) -> None:
+    def _open_membership(self) -> None:
         settings = self.settings
-        own = PublishedVm(
+        own_vm = PublishedVm(
             self.members.own_id,
             DomainId(settings.vm.failure_domain),
             settings.vm.http_address,
             settings.vm.peer_address,
         )
         seeds = [
-            _at_port(seed, settings.fleet.seed_port)
+            _with_port(seed, settings.fleet.seed_port)
             for seed in settings.fleet.seeds
         ]
         self.members.open(
-            own, seeds, settings.vm.cpu_share * settings.vm.cpu_speed
+            own_vm, seeds, settings.vm.cpu_share * settings.vm.cpu_speed
         )
 
     def _side_addresses(self) -> list[str]:
@@ -396,21 +410,21 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether callers should come here."""
+        """Whether callers should send requests to this VM."""
         return self.catalogue.is_ready and not self.is_leaving
 
-    # -- News
+    # -- Configuration changes and rumours
 
-    async def _published(self) -> None:
+    async def _on_configuration_change(self) -> None:
         limits = self.catalogue.configuration.limits
-        own = self.settings.limits
-        own.header_bytes = limits.header_bytes
-        own.body_bytes = limits.body_bytes
-        own.idle_seconds = limits.idle_seconds
+        server_limits = self.settings.limits
+        server_limits.header_bytes = limits.header_bytes
+        server_limits.body_bytes = limits.body_bytes
+        server_limits.idle_seconds = limits.idle_seconds
         await self.owned.reconcile(self._announce_claim)
         await self.gossip.push(self.follower.own_rumour())
 
-    async def _refuses(self, address: str) -> bool:
+    async def _refuses_connections(self, address: str) -> bool:
         seconds = self.settings.relay.connect_seconds
         return await self.network.refuses(address, seconds)
 
@@ -420,13 +434,13 @@
 
     def _standing_rumours(self) -> list[Any]:
         claims = list(self.claims.by_group.values())
-        count = min(_STANDING_CLAIMS, len(claims))
+        count = min(_REPEATED_CLAIMS_PER_PROBE, len(claims))
         return [
             self.follower.own_rumour(),
             *self.chance.sample(claims, count),
         ]
 
 
-def _at_port(seed: str, port: int) -> str:
+def _with_port(seed: str, port: int) -> str:
     host, own_port = split_address(seed)
     return f'{host}:{port or own_port}'
--- a/flamingovalve/gateway/front.py
+++ b/flamingovalve/gateway/front.py
@@ -1,4 +1,4 @@
-"""Answers the requests of callers."""
+"""Entry point for the requests of callers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Front:
-    """Serves the requests of published routes and notes how each ended."""
+    """Serves requests of published routes and records their outcomes."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
         metrics: GatewayMetrics,
         until_configured: Callable[[], float],
     ) -> None:
-        """Serve with ``server`` the requests that ``access`` admits.
+        """Serve the requests that ``access`` admits through ``server``.
 
-        :param until_configured: tells how many seconds the first reading of
-            the configuration should still take
+        :param until_configured: returns the estimated seconds until the first
+            configuration has been read
         """
         self._until_configured = until_configured
         self.in_progress = 0
@@ -55,14 +55,18 @@
         self._metrics = metrics
 
     async def answer(self, request: Request, responder: Responder) -> None:
-        """Answer a caller's request."""
+        """Serve a caller's request and record its outcome.
+
+        :raises ServingError: if the request is refused or cannot be served
+        :raises ConnectionLost: if the connection broke during the response
+        """
         self.in_progress += 1
-        began = clock.now()
+        started_at = clock.now()
         outcome = 'answered'
         try:
             await self._serve(request, responder)
-        except ServingError as refused:
-            outcome = refused.kind.label
+        except ServingError as error:
+            outcome = error.kind.label
             raise
         except ConnectionLost:
             outcome = 'broken'
@@ -71,24 +75,26 @@
             outcome = 'abandoned'
             raise
         finally:
-            self._note(request, outcome, began)
+            self._record_outcome(request, outcome, started_at)
 
-    def _note(self, request: Request, outcome: str, began: float) -> None:
+    def _record_outcome(
+        self, request: Request, outcome: str, started_at: float
+    ) -> None:
         self.in_progress -= 1
-        self._metrics.note(outcome, clock.now() - began)
+        self._metrics.note(outcome, clock.now() - started_at)
         note(
             logger,
             'request',
             id=self._platform.request_id(request),
             path=request.path,
             outcome=outcome,
-            seconds=round(clock.now() - began, 3),
+            seconds=round(clock.now() - started_at, 3),
             version=self._catalogue.configuration.version,
         )
 
     async def _serve(self, request: Request, responder: Responder) -> None:
         if not self._catalogue.is_ready:
-            raise self._not_ready(request)
+            raise self._not_ready_error(request)
         inbound = await self._access.admit(request)
         inbound.has_caller_left = responder.has_caller_left
         async with responder.watch_caller():
@@ -102,12 +108,12 @@
         await self._quotas.take(inbound)
         try:
             await self._server.serve(inbound, responder)
-        except ServingError as failed:
-            if failed.ran is Ran.NOT and not inbound.tried:
+        except ServingError as error:
+            if error.ran is Ran.NOT and not inbound.tried:
                 self._quotas.give_back(inbound)
             raise
 
-    def _not_ready(self, request: Request) -> ServingError:
+    def _not_ready_error(self, request: Request) -> ServingError:
         return ServingError(
             ErrorKind.NOT_READY,
             'this VM has no configuration yet; try another one',
--- a/flamingovalve/gateway/inbound.py
+++ b/flamingovalve/gateway/inbound.py
@@ -1,4 +1,4 @@
-"""A caller's request as the gateway works with it."""
+"""A caller's request, decoded and matched to its route."""
 
 from __future__ import annotations
 
@@ -17,24 +17,27 @@
     from flamingovalve.generated.messages import PromptPart
     from flamingovalve.http.messages import HeaderList
 
-_MOMENT_SECONDS: Final = 0.001
-# When callers of the users' platform leave a stream that is silent.
-_SHORTEST_SILENCE_SECONDS: Final = 2.0
-_TARGETS_OF_SILENCE: Final = 4
-_PAUSES_OF_SILENCE: Final = 8
+_MIN_TIMEOUT_SECONDS: Final = 0.001
+# Callers of the users' platform disconnect from a stream that stays silent for
+# the longest of these: a fixed time, a multiple of the target latency and a
+# multiple of the targeted gap between events of the route.
+_MIN_SILENCE_SECONDS: Final = 2.0
+_SILENCE_PER_TARGET_LATENCY: Final = 4
+_SILENCE_PER_EVENT_GAP: Final = 8
 
 
-def _nobody_left() -> bool:
+def _never_disconnected() -> bool:
     return False
 
 
 @dataclass(slots=True)
 class Completion:
-    """What a request asks of a model engine.
+    """The part of a request that is addressed to a model engine.
 
-    :ivar adapter: empty for the base model
-    :ivar output_tokens: most tokens of the answer
-    :ivar parts: parts of the prompt, in order; others may share them
+    :ivar adapter: adapter to apply; empty for the base model
+    :ivar output_tokens: upper limit of generated tokens
+    :ivar parts: parts of the prompt, in order; other prompts may have parts
+        in common
     """
 
     model: ModelId
@@ -46,22 +49,23 @@
 
 @dataclass(slots=True)
 class InboundRequest:
-    """One request with the route that it takes.
-
-    :ivar id: name that the caller gave this request; no other has it
-    :ivar headers: what is passed on; connection headers and those that are
-        this system's to set are left out
-    :ivar received_at: when it was read, on our clock
-    :ivar deadline: when its caller or its route stops waiting, on our clock
-    :ivar patience: seconds that the caller was ready to wait
+    """A request and the state of serving it.
+
+    :ivar id: unique id, assigned by the caller
+    :ivar headers: headers to forward, without connection headers and headers
+        that only the gateway may set
+    :ivar received_at: time at which it was read, in clock seconds
+    :ivar deadline: time at which its caller or its route gives up, in clock
+        seconds
+    :ivar patience: seconds that the caller was willing to wait
     :ivar priority: 0 is the most urgent
-    :ivar workspace: the owner of its API key; empty if its route needs no key
-    :ivar tokens: prompt and output tokens as counted by the caller; none if
+    :ivar workspace: owner of its API key; empty if its route needs no key
+    :ivar tokens: prompt and output tokens as counted by the caller; None if
         it sent no counts
-    :ivar service: the one of the route's services that it goes to
-    :ivar tried: upstreams that it was sent to and that may have run it
+    :ivar service: service of the route that was chosen for this request
+    :ivar tried: upstreams that may have run it
     :ivar refused_by: upstreams that did not run it
-    :ivar has_caller_left: tells whether its caller closed the connection
+    :ivar has_caller_left: returns whether the caller has disconnected
     """
 
     id: RequestId
@@ -80,31 +84,32 @@
     completion: Completion | None = None
     tried: list[str] = field(default_factory=list)
     refused_by: list[str] = field(default_factory=list)
-    has_caller_left: Callable[[], bool] = _nobody_left
+    has_caller_left: Callable[[], bool] = _never_disconnected
 
     def remaining(self) -> float:
-        """Give the seconds left until the deadline."""
+        """Return the seconds until the deadline; negative once passed."""
         return self.deadline - clock.now()
 
-    def time_left(self) -> float:
-        """Give the seconds left, at least a moment, for a wait with a limit."""
-        return max(self.remaining(), _MOMENT_SECONDS)
+    def remaining_timeout(self) -> float:
+        """Return the seconds until the deadline as a positive timeout."""
+        return max(self.remaining(), _MIN_TIMEOUT_SECONDS)
 
     def until_first_event(self) -> float:
-        """Give the seconds after which the caller of a stream has left.
+        """Return the seconds until the caller gives up on a silent stream.
 
-        Callers leave a stream that shows nothing for two seconds, four times
-        the target or eight times the longest pause, whichever is longest.
+        Callers disconnect if no event arrives within two seconds, four times
+        the target latency or eight times the targeted event gap, whichever is
+        the longest.
         """
         route = self.route
         patience = max(
-            _SHORTEST_SILENCE_SECONDS,
-            _TARGETS_OF_SILENCE * route.target_latency,
-            _PAUSES_OF_SILENCE * route.longest_pause,
+            _MIN_SILENCE_SECONDS,
+            _SILENCE_PER_TARGET_LATENCY * route.target_latency,
+            _SILENCE_PER_EVENT_GAP * route.longest_pause,
         )
-        waited = clock.now() - self.received_at
-        return min(self.remaining(), patience - waited)
+        elapsed = clock.now() - self.received_at
+        return min(self.remaining(), patience - elapsed)
 
     def until_late(self) -> float:
-        """Give the seconds left until an answer counts as late."""
+        """Return the seconds until the target latency; negative once passed."""
         return self.received_at + self.route.target_latency - clock.now()
--- a/flamingovalve/gateway/places.py
+++ b/flamingovalve/gateway/places.py
@@ -1,4 +1,4 @@
-"""Asks the owner of a group for places, and serves those who ask us."""
+"""Requests places from the owners of groups, and grants places to other VMs."""
 
 from __future__ import annotations
 
@@ -36,32 +36,35 @@
 
 logger = get_logger(__name__)
 
-# An owner that waits for a load says so this often; one that is silent for
-# longer than two beats and a lost packet is taken for gone.
-_BEAT_SECONDS: Final = 0.15
-_SILENCE_SECONDS: Final = 0.5
-# A place counts as ended this long after its request's deadline.
-_LATEST_END_SECONDS: Final = 1.0
-_OWNER_CHANGE_SECONDS: Final = 0.2
+# Interval of the heartbeats that an owner sends while a place is not yet free.
+_HEARTBEAT_SECONDS: Final = 0.15
+# An owner is considered failed after this silence: two heartbeat intervals plus
+# a lost packet.
+_OWNER_TIMEOUT_SECONDS: Final = 0.5
+# A place is freed this long after the deadline of its request.
+_END_GRACE_SECONDS: Final = 1.0
+_NOT_OWNER_RETRY_SECONDS: Final = 0.2
 
 
 class PlaceLease:
-    """A place that is held until it is given back.
+    """A place that is held until it is released.
 
     A place of another VM is held as long as its connection is open. If this
-    process ends, the connection does too, and the owner counts the place as
-    free without having to be told.
+    process ends, the connection closes and the owner frees the place without
+    a message.
+
+    :ivar holder: how the place is held; None if released or unknown to owners
     """
 
     def __init__(self, ask: PlaceAsk, grant: PlaceGrant) -> None:
-        """Hold the place that ``grant`` names."""
+        """Hold the place that ``grant`` describes."""
         self.ask = ask
         self.grant = grant
         self.is_ended = False
         self.holder: LocalHolder | RemoteHolder | None = None
 
     async def end(self, outcome: PlaceOutcome, first_event: float) -> None:
-        """Give the place back."""
+        """Release the place."""
         self.is_ended = True
         holder = self.holder
         self.holder = None
@@ -70,20 +73,20 @@
 
 
 class LocalHolder:
-    """Holds a place that this VM gave to itself."""
+    """Holds a place on an engine that this VM owns."""
 
     def __init__(self, owner: GroupOwner, place: Place) -> None:
-        """Hold ``place`` of ``owner``."""
+        """Hold ``place``, granted by ``owner``."""
         self._owner = owner
         self._place = place
 
     async def end(self, outcome: PlaceOutcome, first_event: float) -> None:
-        """Give the place back."""
+        """Release the place."""
         await self._owner.end(self._place, outcome, first_event)
 
 
 class RemoteHolder:
-    """Holds a place of another VM by an open connection."""
+    """Holds a place granted by another VM through an open connection."""
 
     def __init__(
         self,
@@ -91,28 +94,29 @@
         connection: PeerConnection,
         address: str,
     ) -> None:
-        """Hold the place that was given over ``connection``."""
+        """Hold the place that was granted over ``connection``."""
         self._peers = peers
         self._connection = connection
         self._address = address
 
     async def end(self, outcome: PlaceOutcome, first_event: float) -> None:
-        """Give the place back, and the connection to the pool."""
+        """Release the place and return the connection to the pool."""
         try:
             await self._connection.send(PlaceEnd(outcome, first_event))
         except ConnectionLost:
-            # The owner has gone; whoever follows it was told of the place.
+            # The owner is unreachable. Its successor is told of the place by
+            # PlaceClient.notify_new_owner.
             await self._connection.close()
             return
         self._peers.give(self._connection, self._address)
 
 
 class OwnerSilent(Exception):
-    """The owner of a group cannot be asked at the moment."""
+    """The owner of a group cannot be reached or is not ready."""
 
 
 class PlaceClient:
-    """Takes places wherever their owner is."""
+    """Obtains places from their owners, which may be this VM."""
 
     def __init__(
         self,
@@ -120,23 +124,26 @@
         peers: PeerPool,
         owned: Callable[[GroupId], GroupOwner | None],
     ) -> None:
-        """Ask other VMs by ``peers``, and ourselves by ``owned``."""
+        """Ask remote owners through ``peers``.
+
+        :param owned: returns the owner of a group on this VM, if there is one
+        """
         self._members = members
         self._peers = peers
-        self._owned = owned
-        self._open: set[PlaceLease] = set()
+        self._find_owner = owned
+        self._open_leases: set[PlaceLease] = set()
 
     async def take(self, vm: VmId, ask: PlaceAsk) -> PlaceLease:
-        """Wait for a place.
+        """Wait for a place on an engine that ``vm`` owns.
 
-        :raises ServingError: when the owner refuses
-        :raises OwnerSilent: when it does not answer
+        :raises ServingError: if the owner refuses
+        :raises OwnerSilent: if the owner does not respond
         """
         if vm == self._members.own_id:
-            lease = await self._take_here(ask)
+            lease = await self._take_local(ask)
         else:
-            lease = await self._ask(vm, ask)
-        self._open.add(lease)
+            lease = await self._take_remote(vm, ask)
+        self._open_leases.add(lease)
         return lease
 
     async def end(
@@ -145,29 +152,30 @@
         outcome: PlaceOutcome,
         first_event: float,
     ) -> None:
-        """Give a place back."""
-        self._open.discard(lease)
+        """Release a place."""
+        self._open_leases.discard(lease)
         await lease.end(outcome, first_event)
 
     def note_open(self, lease: PlaceLease) -> None:
-        """Tell the next owner of a place that no owner has given."""
-        self._open.add(lease)
+        """Record a place without an owner, to report it to the next owner."""
+        self._open_leases.add(lease)
 
     async def notify_new_owner(self, group: GroupId, vm: VmId) -> None:
-        """Tell the new owner of a group which places are held here.
+        """Report the places of a group that this VM holds to its new owner.
 
-        It knows only what engines report, and they do not say which adapters
-        are in use. It would order one of them out, and the engine would
-        refuse requests for it until the last one on it has ended.
+        A new owner knows only the reports of engines, which do not say which
+        adapters are in use. Unaware of a place, it could order an adapter in
+        use to be unloaded, and the engine would refuse requests for that
+        adapter until its last request has ended.
         """
-        for lease in list(self._open):
+        for lease in list(self._open_leases):
             if lease.ask.group == group and not lease.is_ended:
-                await self._tell(vm, lease)
+                await self._report_place(vm, lease)
 
-    async def _tell(self, vm: VmId, lease: PlaceLease) -> None:
+    async def _report_place(self, vm: VmId, lease: PlaceLease) -> None:
         hold = PlaceHold(lease.ask, lease.grant.upstream)
         if vm == self._members.own_id:
-            owner = self._owned(lease.ask.group)
+            owner = self._find_owner(lease.ask.group)
             place = owner.adopt_place(hold) if owner is not None else None
             if owner is not None and place is not None:
                 lease.holder = LocalHolder(owner, place)
@@ -179,31 +187,31 @@
         try:
             connection = await self._peers.fresh_enough(address, vm)
             await connection.send(hold)
-        except (PeerUnreachable, ConnectionLost) as failed:
-            logger.info('VM {} not told of a place: {}', vm, failed)
+        except (PeerUnreachable, ConnectionLost) as error:
+            logger.info('place not reported to VM {}: {}', vm, error)
             return
         if lease.is_ended:
             await connection.close()
         else:
             lease.holder = RemoteHolder(self._peers, connection, address)
 
-    async def _take_here(self, ask: PlaceAsk) -> PlaceLease:
-        owner = self._owned(ask.group)
+    async def _take_local(self, ask: PlaceAsk) -> PlaceLease:
+        owner = self._find_owner(ask.group)
         if owner is None:
-            raise OwnerSilent('this VM is about to own the group')
+            raise OwnerSilent('this VM does not own the group yet')
         place = await owner.place(ask)
         lease = PlaceLease(ask, grant_of(place))
         lease.holder = LocalHolder(owner, place)
         return lease
 
-    async def _ask(self, vm: VmId, ask: PlaceAsk) -> PlaceLease:
+    async def _take_remote(self, vm: VmId, ask: PlaceAsk) -> PlaceLease:
         address, connection = await self._connect(vm)
         try:
             await connection.send(ask)
-            reply = await connection.receive(_SILENCE_SECONDS)
-        except (ConnectionLost, WrongPeer) as failed:
+            reply = await connection.receive(_OWNER_TIMEOUT_SECONDS)
+        except (ConnectionLost, WrongPeer) as error:
             await connection.close()
-            raise OwnerSilent(str(failed)) from failed
+            raise OwnerSilent(str(error)) from error
         except BaseException:
             await connection.close()
             raise
@@ -217,35 +225,38 @@
     async def _connect(self, vm: VmId) -> tuple[str, PeerConnection]:
         member = self._members.by_id.get(vm)
         if member is None:
-            # A claim can be heard before its VM is: a process that has just
-            # started knows few others.
-            raise OwnerSilent(f'VM {vm} is not known here yet')
+            # A process that has just started knows few members, so a claim can
+            # arrive before the member entry of its VM.
+            raise OwnerSilent(f'VM {vm} is not a known member yet')
         address = member.vm.peer_address
         try:
             return address, await self._peers.fresh_enough(address, vm)
-        except PeerUnreachable as failed:
-            raise OwnerSilent(str(failed)) from failed
+        except PeerUnreachable as error:
+            raise OwnerSilent(str(error)) from error
 
 
 class PlaceServer:
-    """Gives places to the VMs that ask for them."""
+    """Grants places to other VMs."""
 
     def __init__(
         self,
         owned: Callable[[GroupId], GroupOwner | None],
     ) -> None:
-        """Give those of the groups that ``owned`` finds."""
-        self._owned = owned
+        """Grant places of the groups that this VM owns.
+
+        :param owned: returns the owner of a group on this VM, if there is one
+        """
+        self._find_owner = owned
 
     async def serve(self, ask: PlaceAsk, connection: PeerConnection) -> None:
-        """Give one place and wait until it is given back."""
-        owner = self._owned(ask.group)
+        """Grant one place and wait until it is released."""
+        owner = self._find_owner(ask.group)
         try:
             if owner is None:
-                raise _not_owned(ask.group)
+                raise _not_owner_error(ask.group)
             await self._serve(owner, ask, connection)
-        except ServingError as refused:
-            await connection.send(refusal_of(refused))
+        except ServingError as refusal_error:
+            await connection.send(refusal_of(refusal_error))
 
     async def _serve(
         self,
@@ -254,37 +265,37 @@
         connection: PeerConnection,
     ) -> None:
         if has_ended(connection.socket):
-            # Its caller stopped waiting before we came to read this. Whatever
-            # was done for it would be missing to those who still wait.
+            # The asking VM gave up before its message was read. Work for it
+            # would take capacity from requests that are still waiting.
             owner.counts.withdrawn += 1
             return
         place = owner.place_at_once(ask)
         if place is None:
-            place = await self._wait(owner, ask, connection)
-        ended = PlaceEnd(PlaceOutcome.ABANDONED, 0)
+            place = await self._wait_for_place(owner, ask, connection)
+        end_message = PlaceEnd(PlaceOutcome.ABANDONED, 0)
         try:
             await connection.send(grant_of(place))
-            ended = await self._until_ended(connection, ask)
+            end_message = await self._wait_for_end(connection, ask)
         finally:
-            await owner.end(place, ended.outcome, ended.first_event)
+            await owner.end(place, end_message.outcome, end_message.first_event)
 
-    async def _wait(
+    async def _wait_for_place(
         self,
         owner: GroupOwner,
         ask: PlaceAsk,
         connection: PeerConnection,
     ) -> Place:
-        """Wait for a place while heartbeats tell that we do."""
+        """Wait for a place while sending heartbeats to the asking VM."""
         await connection.send(Heartbeat(0))
-        async with PeerWatch(connection, _BEAT_SECONDS):
+        async with PeerWatch(connection, _HEARTBEAT_SECONDS):
             return await owner.place_in_turn(ask)
 
-    async def _until_ended(
+    async def _wait_for_end(
         self,
         connection: PeerConnection,
         ask: PlaceAsk,
     ) -> PlaceEnd:
-        message = await connection.receive(ask.remaining + _LATEST_END_SECONDS)
+        message = await connection.receive(ask.remaining + _END_GRACE_SECONDS)
         if isinstance(message, PlaceEnd):
             return message
         return PlaceEnd(PlaceOutcome.ABANDONED, 0)
@@ -294,28 +305,28 @@
         hold: PlaceHold,
         connection: PeerConnection,
     ) -> None:
-        """Count a place that a former owner gave until it is given back."""
-        owner = self._owned(hold.ask.group)
+        """Adopt a place of a former owner and wait until it is released."""
+        owner = self._find_owner(hold.ask.group)
         place = owner.adopt_place(hold) if owner is not None else None
-        ended = PlaceEnd(PlaceOutcome.ABANDONED, 0)
+        end_message = PlaceEnd(PlaceOutcome.ABANDONED, 0)
         try:
-            ended = await self._until_ended(connection, hold.ask)
+            end_message = await self._wait_for_end(connection, hold.ask)
         finally:
             if place is not None and owner is not None:
-                await owner.end(place, ended.outcome, 0)
+                await owner.end(place, end_message.outcome, 0)
 
 
 def grant_of(place: Place) -> PlaceGrant:
-    """Give the message that names a place."""
+    """Return the message that grants a place."""
     upstream = place.engine.upstream
     held = place.engine.held.get(place.ask.adapter)
     version = held.version if held is not None else 0
     return PlaceGrant(upstream.id, upstream.address, version)
 
 
-def _not_owned(group: GroupId) -> ServingError:
+def _not_owner_error(group: GroupId) -> ServingError:
     return ServingError(
         ErrorKind.NOT_OWNER,
-        f'group {group} belongs to another VM; ask that one',
-        retry_after=_OWNER_CHANGE_SECONDS,
+        f'group {group} is owned by another VM; ask that VM',
+        retry_after=_NOT_OWNER_RETRY_SECONDS,
     )
--- a/flamingovalve/gateway/relay.py
+++ b/flamingovalve/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Passes requests on to upstreams and their answers back."""
+"""Forwards requests to upstreams and returns their responses."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Verdict(Enum):
-    """What the head of an upstream's answer says of the request."""
+    """Classification of a response head with regard to its request."""
 
     SUCCESS = 'success'
     FAILURE = 'failure'
@@ -40,7 +40,7 @@
 
 
 class Outcome(Enum):
-    """How sending a request to one upstream ended."""
+    """Outcome of sending a request to one upstream."""
 
     DONE = 'done'
     FAILED = 'failed'
@@ -51,17 +51,17 @@
     BROKEN = 'broken'
 
 
-_CONNECTION_SPOILT: Final = frozenset(
+_CONNECTION_UNUSABLE_AFTER: Final = frozenset(
     (Outcome.LOST, Outcome.TIMED_OUT, Outcome.BROKEN),
 )
 
 
 @dataclass(slots=True)
 class Sent:
-    """What came of one send.
+    """Result of sending a request to one upstream.
 
-    :ivar response: the upstream's own answer, where it is a failure that
-        can be passed on
+    :ivar response: response to return to the caller; None if the upstream
+        sent none that can be returned, or if it was streamed
     :ivar first_event: seconds from sending to the first event; 0 for none
     """
 
@@ -72,12 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Sending:
-    """What this system adds to a request that it passes on.
+    """Values that the gateway adds to a forwarded request.
 
-    :ivar seconds: time that the upstream may take
-    :ivar priority: 0 is the most urgent; none where nothing is batched
-    :ivar version: version that the adapter must have; 0 for any
-    :ivar resume_after: number of the last event that the caller has
+    :ivar seconds: time budget of the upstream
+    :ivar priority: 0 is the most urgent; None for services that do not batch
+    :ivar version: required version of the adapter; 0 for any
+    :ivar resume_after: id of the last event that the caller has received;
+        empty for a stream from the start
     """
 
     seconds: float
@@ -87,74 +88,74 @@
 
 
 class Wire(Protocol):
-    """How upstreams are spoken to."""
+    """Wire format of the calls to upstreams."""
 
     def call_of(
         self,
         request: InboundRequest,
         upstream: Upstream,
-        sending: Sending,
+        options: Sending,
     ) -> UpstreamCall:
-        """Build the call that passes a request on."""
+        """Build the upstream call that forwards a request."""
 
     def verdict(self, head: ResponseHead, request: InboundRequest) -> Verdict:
-        """Tell what the head of an answer says of a request."""
+        """Classify the head of a response to a request."""
 
     def kept_seconds(self, head: ResponseHead) -> float | None:
-        """Give how long an idle connection is kept, where it is said."""
+        """Return the announced keep-alive timeout in seconds, if any."""
 
 
 class UpstreamRelay:
-    """Sends one request to one upstream."""
+    """Sends requests to upstreams over pooled connections."""
 
     def __init__(self, pool: ConnectionPool, wire: Wire) -> None:
-        """Send over connections of ``pool``."""
+        """Send over connections of ``pool`` in the format of ``wire``."""
         self._pool = pool
         self._wire = wire
 
-    async def whole(
+    async def exchange(
         self,
         request: InboundRequest,
         upstream: Upstream,
-        sending: Sending,
+        options: Sending,
     ) -> Sent:
-        """Send a request and read its whole answer."""
-        return await self._over_connection(
-            self._whole, request, upstream, sending
+        """Send a request and read its complete response."""
+        return await self._with_connection(
+            self._exchange, request, upstream, options
         )
 
     async def stream(
         self,
         request: InboundRequest,
         upstream: Upstream,
-        sending: Sending,
+        options: Sending,
         sink: EventSink,
     ) -> Sent:
-        """Send a request and pass its events on as they come."""
-        talk = functools.partial(self._stream, sink=sink)
-        return await self._over_connection(talk, request, upstream, sending)
+        """Send a request and write its events to ``sink`` as they arrive."""
+        transfer = functools.partial(self._stream, sink=sink)
+        return await self._with_connection(transfer, request, upstream, options)
 
-    async def _over_connection(
+    async def _with_connection(
         self,
-        talk: Callable[..., Awaitable[Sent]],
+        transfer: Callable[..., Awaitable[Sent]],
         request: InboundRequest,
         upstream: Upstream,
-        sending: Sending,
+        options: Sending,
     ) -> Sent:
-        connection = await self._open(upstream, sending.seconds)
+        connection = await self._connect(upstream, options.seconds)
         if connection is None:
             return Sent(Outcome.UNREACHABLE)
         try:
             sent = Sent(Outcome.UNREACHABLE)
-            if _is_wanted(request):
-                sent = await talk(connection, request, upstream, sending)
+            if _should_send(request):
+                sent = await transfer(connection, request, upstream, options)
         except BaseException:
             await connection.close()
             raise
-        await self._finish(connection, sent)
+        await self._dispose(connection, sent)
         return sent
 
-    async def _open(
+    async def _connect(
         self,
         upstream: Upstream,
         seconds: float,
@@ -167,53 +168,56 @@
             await self._pool.drop(upstream.address)
             return None
 
-    async def _finish(
+    async def _dispose(
         self,
         connection: UpstreamConnection,
         sent: Sent,
     ) -> None:
-        if sent.outcome in _CONNECTION_SPOILT:
+        if sent.outcome in _CONNECTION_UNUSABLE_AFTER:
             await connection.close()
         else:
             await self._pool.give(connection)
 
-    async def _head(
+    async def _exchange_head(
         self,
         connection: UpstreamConnection,
         request: InboundRequest,
         upstream: Upstream,
-        sending: Sending,
+        options: Sending,
     ) -> ResponseHead:
-        call = self._wire.call_of(request, upstream, sending)
-        await connection.send(call, request.time_left())
-        head = await connection.head(request.time_left())
+        call = self._wire.call_of(request, upstream, options)
+        await connection.send(call, request.remaining_timeout())
+        head = await connection.head(request.remaining_timeout())
         while self._wire.verdict(head, request) is Verdict.OTHER_REQUEST:
-            # A second answer to an earlier call may come late; ours follows.
-            await connection.body(request.time_left())
+            # Skips a duplicate response to an earlier call on this connection;
+            # the response to this request follows.
+            await connection.body(request.remaining_timeout())
             connection.expect_another()
-            head = await connection.head(request.time_left())
-        kept = self._wire.kept_seconds(head)
-        if kept is not None:
-            connection.kept_seconds = kept * _KEPT_SHARE
+            head = await connection.head(request.remaining_timeout())
+        keep_alive = self._wire.kept_seconds(head)
+        if keep_alive is not None:
+            connection.kept_seconds = keep_alive * _KEEP_ALIVE_SHARE
         return head
 
-    async def _whole(
+    async def _exchange(
         self,
         connection: UpstreamConnection,
         request: InboundRequest,
         upstream: Upstream,
-        sending: Sending,
+        options: Sending,
     ) -> Sent:
         try:
-            head = await self._head(connection, request, upstream, sending)
-            body = await connection.body(request.time_left())
+            head = await self._exchange_head(
+                connection, request, upstream, options
+            )
+            body = await connection.body(request.remaining_timeout())
         except TimeoutError:
             return Sent(Outcome.TIMED_OUT)
         except ConnectionLost:
             return Sent(Outcome.LOST)
-        return self._judge(head, body, request)
+        return self._classify(head, body, request)
 
-    def _judge(
+    def _classify(
         self,
         head: ResponseHead,
         body: bytes,
@@ -234,109 +238,127 @@
         connection: UpstreamConnection,
         request: InboundRequest,
         upstream: Upstream,
-        sending: Sending,
+        options: Sending,
         sink: EventSink,
     ) -> Sent:
-        began = clock.now()
+        started_at = clock.now()
         outcome = Outcome.DONE
         try:
-            head = await self._head(connection, request, upstream, sending)
+            head = await self._exchange_head(
+                connection, request, upstream, options
+            )
             if self._wire.verdict(head, request) is not Verdict.SUCCESS:
-                body = await connection.body(request.time_left())
-                return self._judge(head, body, request)
+                body = await connection.body(request.remaining_timeout())
+                return self._classify(head, body, request)
             await sink.begin(head.status, end_to_end(head.lines))
-            await self._pass_on(connection, request, sink)
+            await self._forward_events(connection, request, sink)
         except TimeoutError:
             outcome = Outcome.TIMED_OUT
         except ConnectionLost:
             outcome = Outcome.LOST
-        first = max(0, sink.first_at - began) if sink.first_at else 0
-        return Sent(outcome, first_event=first)
+        first_event = (
+            max(0, sink.first_event_at - started_at)
+            if sink.first_event_at
+            else 0
+        )
+        return Sent(outcome, first_event=first_event)
 
-    async def _pass_on(
+    async def _forward_events(
         self,
         connection: UpstreamConnection,
         request: InboundRequest,
         sink: EventSink,
     ) -> None:
-        part = await connection.chunk(request.time_left())
-        while part:
-            await sink.write(part)
-            part = await connection.chunk(request.time_left())
-        if sink.holds_fragment():
-            raise ConnectionLost('the stream ended within an event')
+        chunk_bytes = await connection.chunk(request.remaining_timeout())
+        while chunk_bytes:
+            await sink.write(chunk_bytes)
+            chunk_bytes = await connection.chunk(request.remaining_timeout())
+        if sink.has_incomplete_event():
+            raise ConnectionLost('the stream ended in the middle of an event')
 
 
-# An upstream closes an idle connection after the whole seconds that it names;
-# a request that crosses the close is lost. A fifth covers its way there.
-_KEPT_SHARE: Final = 0.8
+# Share of the announced keep-alive timeout during which a connection is reused.
+# A request that is in flight when the upstream closes the idle connection is
+# lost; the remaining fifth covers its time in flight.
+_KEEP_ALIVE_SHARE: Final = 0.8
 
 
 class EventSink:
-    """Writes events to a caller.
+    """Writes the events of a stream to a caller.
+
+    For a resumable stream, only complete events are written and the id of the
+    last one is recorded, so that another upstream can resume after it.
 
-    Where a stream can be resumed, only whole events are written and the last
-    one's number is remembered, so that another run can go on behind it.
+    :ivar last_event_id: id of the last event written; empty for none
+    :ivar first_event_at: time of the first data in clock seconds; 0 for none
     """
 
     def __init__(self, responder: Responder, *, whole_events: bool) -> None:
-        """Write to ``responder``."""
-        self.last_event = ''
-        self.first_at = 0.0
+        """Write to ``responder``.
+
+        :param whole_events: whether to hold back incomplete events
+        """
+        self.last_event_id = ''
+        self.first_event_at = 0.0
         self._responder = responder
         self._whole_events = whole_events
         self._buffer = b''
 
     @property
     def started(self) -> bool:
-        """Tell whether the caller has got the head of an answer."""
+        """Whether the response head has been sent to the caller."""
         return self._responder.started
 
     async def begin(self, status: int, headers: HeaderList) -> None:
-        """Write the head, once; a resumed stream keeps its first one."""
+        """Write the head, unless an earlier run of the stream has."""
         self._buffer = b''
         if not self._responder.started:
             await self._responder.start(status, headers)
 
-    async def write(self, part: bytes) -> None:
-        """Write what came."""
-        self.first_at = self.first_at or clock.now()
+    async def write(self, chunk_bytes: bytes) -> None:
+        """Write data received from the upstream."""
+        self.first_event_at = self.first_event_at or clock.now()
         if not self._whole_events:
-            await self._responder.chunk(part)
+            await self._responder.chunk(chunk_bytes)
             return
-        complete, end, rest = (self._buffer + part).rpartition(_EVENT_END)
-        self._buffer = rest
+        complete, end, incomplete = (self._buffer + chunk_bytes).rpartition(
+            _EVENT_END
+        )
+        self._buffer = incomplete
         if not end:
             return
         await self._responder.chunk(complete + end)
-        self._note_last(complete)
+        self._record_last_event_id(complete)
 
-    def holds_fragment(self) -> bool:
-        """Tell whether the stream ended within an event."""
+    def has_incomplete_event(self) -> bool:
+        """Return whether an incomplete event is buffered."""
         return bool(self._buffer)
 
-    def _note_last(self, events: bytes) -> None:
+    def _record_last_event_id(self, events: bytes) -> None:
         for line in events.split(b'\n'):
             if line.startswith(b'id:'):
-                self.last_event = line[3:].strip().decode('latin-1')
+                self.last_event_id = line[3:].strip().decode('latin-1')
 
 
-def _is_wanted(request: InboundRequest) -> bool:
-    """Tell whether somebody still waits for an answer.
+def _should_send(request: InboundRequest) -> bool:
+    """Return whether the deadline of a request has not passed yet.
 
-    A VM that is short of processor time reads a request long after it came
-    in. Its caller has left by then; sent on, it would take an upstream's time
-    from those who wait. One sees requests that begin after their deadline.
+    A VM that is short of CPU time may read a request long after it arrived,
+    when its caller has already disconnected. Forwarding it would take upstream
+    capacity from live requests. The symptom is upstreams that start requests
+    after their deadline.
 
-    :raises ConnectionLost: when its caller has left
+    :raises ConnectionLost: if the caller has disconnected
     """
     if request.has_caller_left():
-        raise ConnectionLost('the caller left before its request was sent')
+        raise ConnectionLost(
+            'the caller disconnected before its request was sent'
+        )
     return request.remaining() > 0
 
 
 def may_send_again(request: InboundRequest, outcome: Outcome) -> bool:
-    """Tell whether a request may go to another upstream after ``outcome``."""
+    """Return whether another upstream may run a request after ``outcome``."""
     if outcome in {Outcome.NOT_RUN, Outcome.UNREACHABLE}:
         return True
     if outcome in {Outcome.DONE, Outcome.TIMED_OUT}:
@@ -345,17 +367,17 @@
 
 
 def failure(outcome: Outcome) -> ServingError:
-    """Give the error for a request that nobody will answer."""
+    """Return the error to report for an ``outcome`` without a response."""
     if outcome is Outcome.TIMED_OUT:
         return ServingError(
             ErrorKind.DEADLINE_PASSED,
-            'the upstream did not answer in time; it may have run',
+            'the upstream did not respond in time; the request may have run',
             ran=Ran.UNKNOWN,
         )
     if outcome in {Outcome.NOT_RUN, Outcome.UNREACHABLE}:
         return ServingError(
             ErrorKind.OVERLOADED,
-            'no upstream took the request; it has not run',
+            'no upstream accepted the request; it has not run',
             retry_after=_RETRY_SECONDS,
         )
     return ServingError(
@@ -365,5 +387,5 @@
     )
 
 
-# By then a full upstream has ended a few of its calls of some ten ms.
+# In this time, a full upstream completes a few of its calls of some 10 ms.
 _RETRY_SECONDS: Final = 0.2
--- a/flamingovalve/gateway/serving.py
+++ b/flamingovalve/gateway/serving.py
@@ -1,4 +1,4 @@
-"""Serves one request of a published route by the service that it goes to."""
+"""Dispatches requests of published routes to one of their services."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RequestServer:
-    """Divides the requests of a route among its services."""
+    """Distributes the requests of a route over its services by weight."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         quarantine: CrashQuarantine,
         chance: random.Random,
     ) -> None:
-        """Serve by ``calls`` and ``completions``."""
+        """Serve through ``calls`` or ``completions``, by service type."""
         self._catalogue = catalogue
         self._budget = budget
         self._calls = calls
@@ -46,10 +46,10 @@
     ) -> None:
         """Serve one request.
 
-        :raises ServingError: when it cannot be served
+        :raises ServingError: if it cannot be served or is quarantined
         """
         self._quarantine.check(request)
-        service = self._service_of(request)
+        service = self._choose_service(request)
         request.service = service.name
         self._budget.note_request(service.name)
         completion = request.completion
@@ -58,10 +58,10 @@
         else:
             await self._calls.serve(request, responder)
 
-    def _service_of(self, request: InboundRequest) -> UpstreamService:
-        shares = request.route.services
-        names = [share.service for share in shares]
-        weights = [share.weight for share in shares]
+    def _choose_service(self, request: InboundRequest) -> UpstreamService:
+        weighted_services = request.route.services
+        names = [share.service for share in weighted_services]
+        weights = [share.weight for share in weighted_services]
         name = self._chance.choices(names, weights)[0]
         service = self._catalogue.configuration.services_by_name.get(name)
         if service is None:
--- a/tests/test_sending.py
+++ b/tests/test_sending.py
@@ -75,7 +75,10 @@
         """Send over a connection that takes ``seconds`` to open."""
         relay = UpstreamRelay(SlowPool(self, seconds), PlainWire())
         return curio.run(
-            relay.whole, request, upstream('one'), Sending(request.remaining())
+            relay.exchange,
+            request,
+            upstream('one'),
+            Sending(request.remaining()),
         )
 
     def test_deadline_that_passes_while_a_connection_opens(self):
