--- a/flamingovalve/gateway/access.py
+++ b/flamingovalve/gateway/access.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class AccessCounts:
-    """Outcomes of requests on routes that need a key."""
+    """Outcomes of requests on routes that require an API key."""
 
     admitted: int = 0
     unknown_keys: int = 0
@@ -42,15 +42,15 @@
     async def admit(self, request: Request) -> InboundRequest:
         """Authorize and decode a request.
 
-        :raises ServingError: when no route matches, when the key is missing,
-            repeated or unknown, or when the configuration may be stale
+        :raises ServingError: if no route matches, if the key is missing,
+            repeated or unknown, or if the configuration may be stale
         """
-        route = self._route_of(request)
+        route = self._match_route(request)
         if not self._catalogue.configuration.needs_key(route):
             return self._platform.inbound(request, route)
         await self._guard.check(self._platform.request_id(request))
         # The configuration may have been replaced during the check.
-        route = self._route_of(request)
+        route = self._match_route(request)
         inbound = self._platform.inbound(request, route)
         if self._catalogue.configuration.needs_key(route):
             self._assign_workspace(inbound, self._workspace_of(request))
@@ -66,25 +66,29 @@
         if workspace.priority is not None:
             inbound.priority = workspace.priority
 
-    def _route_of(self, request: Request) -> Route:
+    def _match_route(self, request: Request) -> Route:
         host = self._platform.host_of(request)
         route = self._catalogue.configuration.find(host, request.path)
         if route is None:
             raise ServingError(
                 ErrorKind.UNKNOWN_PATH,
-                f'no route of host {host!r} begins {request.path!r}',
+                f'no route of host {host!r} matches path {request.path!r}',
             )
         return route
 
     def _workspace_of(self, request: Request) -> Workspace:
         key = self._platform.key_of(request)
         if not key:
-            raise self._unknown_key('this route needs a key; send one')
+            raise self._unknown_key_error(
+                'this route requires an API key; send one'
+            )
         workspace = self._catalogue.configuration.workspace_of(key)
         if workspace is None:
-            raise self._unknown_key('no workspace holds this key; send another')
+            raise self._unknown_key_error(
+                'no workspace owns this API key; send another'
+            )
         return workspace
 
-    def _unknown_key(self, message: str) -> ServingError:
+    def _unknown_key_error(self, message: str) -> ServingError:
         self.counts.unknown_keys += 1
         return ServingError(ErrorKind.UNKNOWN_KEY, message)
--- a/flamingovalve/gateway/credit.py
+++ b/flamingovalve/gateway/credit.py
@@ -14,7 +14,7 @@
     from flamingovalve.gateway.model import Quota
 
 # Bounds the wait that is reported to a refused request.
-_LONGEST_WAIT_SECONDS: Final = 5.0
+_MAX_WAIT_SECONDS: Final = 5.0
 
 
 class CreditBucket:
@@ -28,7 +28,7 @@
     def __init__(self, quota: Quota, accrues_from: float) -> None:
         """Start with the credit accrued since ``accrues_from``.
 
-        :param accrues_from: start of the accrual, on our clock
+        :param accrues_from: start of the accrual, in clock seconds
         """
         self._quota = quota
         self._balance = 0.0
@@ -37,7 +37,7 @@
 
     @property
     def balance(self) -> float:
-        """Give the credit as of the last update; negative if overdrawn."""
+        """Credit as of the last update; negative if overdrawn."""
         return self._balance
 
     def update_quota(self, quota: Quota) -> None:
@@ -67,8 +67,8 @@
         rate = self._quota.rate * max(share, 0)
         shortfall = required + self._retry_backlog - self._balance
         self._retry_backlog += cost
-        if shortfall >= rate * _LONGEST_WAIT_SECONDS:
-            return _LONGEST_WAIT_SECONDS
+        if shortfall >= rate * _MAX_WAIT_SECONDS:
+            return _MAX_WAIT_SECONDS
         return shortfall / rate
 
     def give_back(self, unused: float) -> None:
@@ -80,8 +80,8 @@
         self._balance = min(self._balance, ceiling)
 
     def _refill(self, share: float) -> None:
-        moment = clock.now()
-        accrued = (moment - self._refilled_at) * self._quota.rate * share
-        self._refilled_at = moment
+        now = clock.now()
+        accrued = (now - self._refilled_at) * self._quota.rate * share
+        self._refilled_at = now
         self._balance = min(self._balance + accrued, self._quota.burst)
         self._retry_backlog = max(self._retry_backlog - accrued, 0)
--- a/flamingovalve/gateway/quarantine.py
+++ b/flamingovalve/gateway/quarantine.py
@@ -1,13 +1,14 @@
-"""Keeps a request that crashes upstreams from crashing more of them.
+"""Quarantines requests that repeatedly crash upstreams.
 
-Answers a request that crashes whatever begins to run it, and whose caller
-sends it again, to any VM. Each VM sees a part of what an upstream runs, so
-nobody can tell which of its requests was to blame. But an innocent request
-is served at its next try, while this one ends in a crash each time.
+A request may crash every upstream that runs it, while its caller retries it
+through any VM. When an upstream crashes, the faulty request cannot be told
+from the others that it ran, as each VM sees only some of them. But a harmless
+request succeeds when it is retried, while the faulty one crashes an upstream
+each time.
 
-A request is known again by its path and body. One without a body is left
-out: many callers ask for the same path, and crashes that each of them met
-by chance would add up.
+Retries are recognized by host, method, path, adapter and body. Requests
+without a body are exempt: many callers send the same path, and unrelated
+crashes would add up.
 """
 
 from __future__ import annotations
@@ -29,22 +30,23 @@
     from flamingovalve.gateway.inbound import InboundRequest
     from flamingovalve.gateway.model import Upstream
 
-    Refuses = Callable[[str], Awaitable[bool]]
-    Tell = Callable[[PoisonRumour], Awaitable[None]]
+    RefusesConnections = Callable[[str], Awaitable[bool]]
+    PublishRumour = Callable[[PoisonRumour], Awaitable[None]]
 
 logger = get_logger(__name__)
 
-# Two crashes in a row happen to innocent requests on days when a third of
-# the upstreams crash; three without a single answer between did not.
-_CONVICTION: Final = 3
-# Fingerprints under suspicion: 100 bytes each, and more than ever run on the
-# upstreams that crash within a minute.
-_MOST_SUSPECTS: Final = 2000
+# Crashes without a response in between before a request is refused. When a
+# third of the upstreams crash, harmless requests meet two in a row, but not
+# three.
+_QUARANTINE_AFTER_CRASHES: Final = 3
+# Exceeds the number of requests on all upstreams that crash within a minute; an
+# entry takes 100 bytes.
+_MAX_SUSPECTS: Final = 2000
 
 
 @dataclass
 class CrashCounts:
-    """What the quarantine has seen since this process started."""
+    """Crashes, cleared suspects and refusals since this process started."""
 
     crashes: int = 0
     cleared: int = 0
@@ -58,36 +60,36 @@
 
 
 class CrashQuarantine:
-    """Counts the crashes of each request until an answer clears it."""
+    """Counts the crashes of each request until a response clears it."""
 
-    def __init__(self, seconds: float, refuses: Refuses) -> None:
-        """Suspect a request for ``seconds`` after a crash.
+    def __init__(self, seconds: float, refuses: RefusesConnections) -> None:
+        """Keep the crash count of a request for ``seconds``.
 
-        :param refuses: tells whether nothing listens at an address
+        :param refuses: returns whether an address refuses connections
         """
         self.counts = CrashCounts()
-        self.publish: Tell = _publish_nowhere
+        self.publish: PublishRumour = _publish_nowhere
         self._seconds = seconds
         self._refuses = refuses
         self._suspects: dict[Fingerprint, _Suspect] = {}
 
     def check(self, request: InboundRequest) -> None:
-        """Let a request pass that may be run.
+        """Check that a request is not quarantined.
 
-        :raises ServingError: when it has crashed too many upstreams
+        :raises ServingError: if it has crashed too many upstreams
         """
         if not self._suspects or not request.body:
             return
         fingerprint = fingerprint_of(request)
-        if self._crashes(fingerprint) < _CONVICTION:
+        if self._crash_count(fingerprint) < _QUARANTINE_AFTER_CRASHES:
             return
         self.counts.refused += 1
-        left = self._suspects[fingerprint].expires_at - clock.now()
+        seconds_left = self._suspects[fingerprint].expires_at - clock.now()
         raise ServingError(
             ErrorKind.QUARANTINED,
-            'this request crashed several upstreams; change it before it is '
-            'sent again',
-            retry_after=max(left, 0),
+            'this request crashed several upstreams; change it before '
+            'sending it again',
+            retry_after=max(seconds_left, 0),
         )
 
     async def note(
@@ -96,40 +98,42 @@
         upstream: Upstream,
         outcome: Outcome,
     ) -> None:
-        """Learn how sending a request ended."""
+        """Record the outcome of sending a request to an upstream."""
         if not request.body:
             return
         if outcome in {Outcome.DONE, Outcome.FAILED}:
             self._clear(request)
-        elif outcome is Outcome.LOST and await self._has_ended(upstream):
-            await self._note_crash(request, upstream)
+        elif outcome is Outcome.LOST and await self._has_crashed(upstream):
+            await self._record_crash(request, upstream)
 
     def hear(self, rumour: PoisonRumour) -> News:
-        """Take another VM's count if it is higher."""
-        if self._crashes(rumour.fingerprint) >= rumour.crashes:
+        """Apply the crash count of another VM if it is higher."""
+        if self._crash_count(rumour.fingerprint) >= rumour.crashes:
             return News.NONE
-        self._suspect(rumour.fingerprint, rumour.crashes, rumour.remaining)
+        self._set_crash_count(
+            rumour.fingerprint, rumour.crashes, rumour.remaining
+        )
         return News.ORDINARY
 
-    async def _has_ended(self, upstream: Upstream) -> bool:
-        """Tell a crash from a connection that broke for another reason."""
+    async def _has_crashed(self, upstream: Upstream) -> bool:
+        """Return whether the upstream crashed, not just its connection."""
         return await self._refuses(upstream.address)
 
     def _clear(self, request: InboundRequest) -> None:
         if not self._suspects:
             return
-        known = self._suspects.pop(fingerprint_of(request), None)
-        self.counts.cleared += known is not None
+        suspect = self._suspects.pop(fingerprint_of(request), None)
+        self.counts.cleared += suspect is not None
 
-    async def _note_crash(
+    async def _record_crash(
         self,
         request: InboundRequest,
         upstream: Upstream,
     ) -> None:
         self.counts.crashes += 1
         fingerprint = fingerprint_of(request)
-        crashes = self._crashes(fingerprint) + 1
-        self._suspect(fingerprint, crashes, self._seconds)
+        crashes = self._crash_count(fingerprint) + 1
+        self._set_crash_count(fingerprint, crashes, self._seconds)
         note(
             logger,
             'upstream ended while it ran a request',
@@ -137,11 +141,11 @@
             upstream=upstream.id,
             fingerprint=f'{fingerprint:016x}',
             crashes=crashes,
-            convicted=crashes >= _CONVICTION,
+            convicted=crashes >= _QUARANTINE_AFTER_CRASHES,
         )
         await self.publish(PoisonRumour(fingerprint, crashes, self._seconds))
 
-    def _suspect(
+    def _set_crash_count(
         self,
         fingerprint: Fingerprint,
         crashes: int,
@@ -150,21 +154,21 @@
         expires_at = clock.now() + seconds
         self._suspects.pop(fingerprint, None)
         self._suspects[fingerprint] = _Suspect(crashes, expires_at)
-        while len(self._suspects) > _MOST_SUSPECTS:
+        while len(self._suspects) > _MAX_SUSPECTS:
             del self._suspects[next(iter(self._suspects))]
 
-    def _crashes(self, fingerprint: Fingerprint) -> int:
-        known = self._suspects.get(fingerprint)
-        if known is None:
+    def _crash_count(self, fingerprint: Fingerprint) -> int:
+        suspect = self._suspects.get(fingerprint)
+        if suspect is None:
             return 0
-        if clock.now() >= known.expires_at:
+        if clock.now() >= suspect.expires_at:
             del self._suspects[fingerprint]
             return 0
-        return known.crashes
+        return suspect.crashes
 
 
 def fingerprint_of(request: InboundRequest) -> Fingerprint:
-    """Give what a request has in common with its repeats."""
+    """Return a fingerprint that a request shares with its retries."""
     completion = request.completion
     adapter = completion.adapter if completion else ''
     return Fingerprint(
@@ -179,4 +183,4 @@
 
 
 async def _publish_nowhere(_rumour: PoisonRumour) -> None:
-    """Drop a rumour: this VM is alone."""
+    """Drop a rumour; the default until the daemon sets a publisher."""
--- a/flamingovalve/gateway/quota_keeper.py
+++ b/flamingovalve/gateway/quota_keeper.py
@@ -16,18 +16,20 @@
     from flamingovalve.generated.messages import CreditAsk, Hello
     from flamingovalve.membership.members import MemberTable
 
-# After this long without asks, another VM may have been the keeper.
+# After this long without requests for credit, another VM may have been the
+# keeper in between.
 _IDLE_SECONDS: Final = 2.0
-# For this long after an idle period, asks cap the balance by ``most_left``.
+# For this long after an idle period, requests for credit cap the balance by
+# their ``most_left``.
 _HANDOVER_SECONDS: Final = 1.0
 
 
 @dataclass(slots=True)
-class _KeptBucket:
+class _BucketEntry:
     """A bucket and the times of requests for its credit.
 
-    :ivar active_since: first ask after the last idle period
-    :ivar last_asked_at: most recent ask
+    :ivar active_since: first request for credit after the last idle period
+    :ivar last_asked_at: most recent request for credit
     """
 
     bucket: CreditBucket
@@ -52,7 +54,7 @@
     ) -> None:
         """Grant credit by the quotas in ``catalogue``.
 
-        :param started_at: when this process started, on our clock; credit
+        :param started_at: start of this process in clock seconds; credit
             accrues from then on, as earlier grants are unknown
         :param overage: fraction by which a partitioned fleet may exceed a
             quota
@@ -61,10 +63,10 @@
         self._members = members
         self._started_at = started_at
         self._overage = overage
-        self._kept_by_workspace: dict[WorkspaceId, _KeptBucket] = {}
+        self._entries_by_workspace: dict[WorkspaceId, _BucketEntry] = {}
 
     async def answer(self, ask: CreditAsk, _remote: Hello) -> CreditReply:
-        """Answer another VM."""
+        """Answer a request for credit from another VM."""
         return self.take(ask)
 
     def take(self, ask: CreditAsk) -> CreditReply:
@@ -73,40 +75,40 @@
         if quota is None:
             return CreditReply(float('inf'), 0)
         bucket = self._refreshed_bucket(ask, quota)
-        wait = bucket.take(ask.wanted, self._share())
+        wait = bucket.take(ask.wanted, self._rate_share())
         return CreditReply(wait, bucket.balance)
 
-    def _share(self) -> float:
-        """Give the fraction of a quota's rate that this VM may grant.
+    def _rate_share(self) -> float:
+        """Return the fraction of a quota's rate that this VM may grant.
 
         Partitions without a majority hold at most half of the VMs, so
         together they grant at most half of the overage. The rest covers the
-        time until a partition is noticed.
+        time until a partition is detected.
         """
         if self._members.has_quorum():
             return 1
         return self._members.visible_share() * self._overage
 
     def state_dump(self) -> dict[str, float]:
-        """Give the balance of each workspace."""
+        """Return the balance of each workspace."""
         return {
-            name: round(kept.bucket.balance)
-            for name, kept in self._kept_by_workspace.items()
+            name: round(entry.bucket.balance)
+            for name, entry in self._entries_by_workspace.items()
         }
 
     def _refreshed_bucket(self, ask: CreditAsk, quota: Quota) -> CreditBucket:
-        moment = clock.now()
-        kept = self._kept_by_workspace.get(ask.workspace)
-        if kept is None:
+        now = clock.now()
+        entry = self._entries_by_workspace.get(ask.workspace)
+        if entry is None:
             bucket = CreditBucket(quota, self._started_at)
-            kept = _KeptBucket(bucket, moment, moment)
-            self._kept_by_workspace[ask.workspace] = kept
-        if moment > kept.last_asked_at + _IDLE_SECONDS:
-            kept.active_since = moment
-        kept.last_asked_at = moment
-        bucket = kept.bucket
+            entry = _BucketEntry(bucket, now, now)
+            self._entries_by_workspace[ask.workspace] = entry
+        if now > entry.last_asked_at + _IDLE_SECONDS:
+            entry.active_since = now
+        entry.last_asked_at = now
+        bucket = entry.bucket
         bucket.update_quota(quota)
         bucket.give_back(ask.unused)
-        if moment <= kept.active_since + _HANDOVER_SECONDS:
+        if now <= entry.active_since + _HANDOVER_SECONDS:
             bucket.cap(ask.most_left)
         return bucket
--- a/flamingovalve/gateway/quotas.py
+++ b/flamingovalve/gateway/quotas.py
@@ -31,13 +31,13 @@
 logger = get_logger(__name__)
 
 _ASK_SECONDS: Final = 0.25
-# Keepers that are asked before the local share is used.
-_MOST_KEEPERS_ASKED: Final = 2
+# Number of keepers that are asked before the local share is used.
+_MAX_KEEPERS_ASKED: Final = 2
 # A keeper that did not answer is skipped for this long.
 _SKIP_SECONDS: Final = 1.0
 # Unused credit expires after this long.
 _UNUSED_LIFETIME_SECONDS: Final = 0.5
-_SHORTEST_RETRY_SECONDS: Final = 0.1
+_MIN_RETRY_SECONDS: Final = 0.1
 _NO_KEEPER_RETRY_SECONDS: Final = 0.3
 
 
@@ -56,7 +56,7 @@
     """Credit state of a workspace on this VM.
 
     :ivar unused: credit granted for requests that did not run
-    :ivar unused_at: when credit was last given back
+    :ivar unused_at: when credit was last returned
     :ivar keeper_balance: balance in the last reply of a keeper
     :ivar keeper_balance_at: when that reply arrived
     :ivar local_bucket: this VM's share of the quota, for when no keeper
@@ -88,7 +88,7 @@
     ) -> None:
         """Ask remote keepers through ``peers`` and the local one directly.
 
-        :param probe: checks at once whether a VM still answers
+        :param probe: probes a VM immediately
         """
         self.counts = QuotaCounts()
         self._catalogue = catalogue
@@ -102,7 +102,7 @@
     async def take(self, request: InboundRequest) -> None:
         """Take credit for a request.
 
-        :raises ServingError: when the quota is exceeded, or no keeper answers
+        :raises ServingError: if the quota is exceeded, or no keeper answers
             and the local share is used up
         """
         quota = self._catalogue.configuration.quota_of(request.workspace)
@@ -115,7 +115,7 @@
         self.counts.granted += 1
 
     def give_back(self, request: InboundRequest) -> None:
-        """Give back the credit of a request that did not run."""
+        """Return the credit of a request that did not run."""
         quota = self._catalogue.configuration.quota_of(request.workspace)
         if quota is None:
             return
@@ -135,7 +135,7 @@
         quota: Quota,
         credit: _WorkspaceCredit,
     ) -> float:
-        """Take credit; give the seconds to wait if it was refused."""
+        """Take credit; return 0, or the seconds to wait if it was refused."""
         cost = quota.cost_of(request.tokens)
         unused = _reusable_credit(credit)
         if unused >= cost:
@@ -146,7 +146,7 @@
             request.workspace,
             cost,
             unused,
-            _most_left(credit, quota),
+            _max_balance(credit, quota),
         )
         for vm in self._keepers(request.workspace):
             reply = await self._ask(vm, ask)
@@ -173,14 +173,14 @@
         address = keeper.peer_address
         try:
             async with curio.timeout_after(_ASK_SECONDS):
-                _from, reply = await self._peers.ask(
+                _remote, reply = await self._peers.ask(
                     address,
                     vm,
                     ask,
                     _ASK_SECONDS,
                 )
-        except (curio.TaskTimeout, PeerUnreachable, ConnectionLost) as failed:
-            logger.info('quota keeper {} did not answer: {!r}', vm, failed)
+        except (curio.TaskTimeout, PeerUnreachable, ConnectionLost) as error:
+            logger.info('quota keeper {} did not answer: {!r}', vm, error)
             self._skipped_until[vm] = clock.now() + _SKIP_SECONDS
             await self._probe(vm)
             return None
@@ -193,7 +193,7 @@
             if self._is_reachable(member)
         ]
         vm_ids = [member.vm.id for member in largest(reachable)]
-        return hashing.first(f'quota {workspace}', vm_ids, _MOST_KEEPERS_ASKED)
+        return hashing.first(f'quota {workspace}', vm_ids, _MAX_KEEPERS_ASKED)
 
     def _is_reachable(self, member: Member) -> bool:
         if member.vm.id == self._members.own_id:
@@ -234,7 +234,7 @@
         )
         return ServingError(
             ErrorKind.QUOTA_UNAVAILABLE,
-            'no VM answers for the quota at the moment; use another address',
+            'no keeper of the quota responds; use another address',
             retry_after=return_times.spread(
                 _NO_KEEPER_RETRY_SECONDS, request.id
             ),
@@ -248,8 +248,10 @@
         wait: float,
     ) -> ServingError:
         self.counts.refused += 1
-        pause = max(wait, _SHORTEST_RETRY_SECONDS)
-        pause = return_times.spread(pause, request.id)
+        retry_after_seconds = max(wait, _MIN_RETRY_SECONDS)
+        retry_after_seconds = return_times.spread(
+            retry_after_seconds, request.id
+        )
         note(
             logger,
             'refused, the quota is exceeded',
@@ -263,9 +265,9 @@
         )
         return ServingError(
             ErrorKind.RATE_LIMITED,
-            f'the quota of workspace {request.workspace} is used up; '
-            f'come back in {pause:.1f} s',
-            retry_after=pause,
+            f'the quota of workspace {request.workspace} is exceeded; '
+            f'retry after {retry_after_seconds:.1f} s',
+            retry_after=retry_after_seconds,
         )
 
 
@@ -274,6 +276,6 @@
     return credit.unused if is_recent else 0
 
 
-def _most_left(credit: _WorkspaceCredit, quota: Quota) -> float:
+def _max_balance(credit: _WorkspaceCredit, quota: Quota) -> float:
     accrued = (clock.now() - credit.keeper_balance_at) * quota.rate
     return min(credit.keeper_balance + accrued, quota.burst)
--- a/flamingovalve/gateway/revocation.py
+++ b/flamingovalve/gateway/revocation.py
@@ -24,14 +24,14 @@
 logger = get_logger(__name__)
 
 # Share of the revocation bound for which a confirmation is valid. The rest
-# allows for a watch that returns changes late.
+# allows for the delay of a watch.
 _VALID_SHARE: Final = 0.7
 # Share of the revocation bound after which a confirmation is renewed, early
 # enough that requests need not wait for it.
 _RENEWAL_SHARE: Final = 0.2
 _RENEWAL_PAUSE_SECONDS: Final = 0.5
 # Bounds the delay of a request when no other VM can be reached.
-_LONGEST_WAIT_SECONDS: Final = 0.3
+_MAX_WAIT_SECONDS: Final = 0.3
 # Short, as callers can retry at once on a VM that is not partitioned.
 _RETRY_SECONDS: Final = 0.3
 
@@ -69,20 +69,20 @@
         """Check that the configuration is recent enough to validate keys.
 
         Must be called after the request has been read, so that a slow read
-        does not admit a key that was revoked meanwhile. Waits briefly for a
-        renewal if the confirmation has expired.
+        does not admit a key that was revoked during the read. Waits briefly
+        for a renewal if the confirmation has expired.
 
-        :raises ServingError: when the confirmation is still expired
+        :raises ServingError: if the confirmation is still expired
         """
         if not self._valid_seconds:
             return
         if self._confirmation.age() > self._renewal_seconds:
             await self._begin_renewal()
         if not self._is_confirmed() and self._renewal is not None:
-            async with curio.ignore_after(_LONGEST_WAIT_SECONDS):
+            async with curio.ignore_after(_MAX_WAIT_SECONDS):
                 await self._renewal.wait()
         if not self._is_confirmed():
-            raise self._refusal(request_id)
+            raise self._refusal_error(request_id)
 
     def _is_confirmed(self) -> bool:
         return self._confirmation.age() <= self._valid_seconds
@@ -101,7 +101,7 @@
             daemon=True,
         )
 
-    def _refusal(self, request_id: str) -> ServingError:
+    def _refusal_error(self, request_id: str) -> ServingError:
         self.counts.refused += 1
         age = self._confirmation.age()
         note(
@@ -113,7 +113,7 @@
         )
         return ServingError(
             ErrorKind.STALE_CONFIGURATION,
-            'this VM cannot tell whether the key is still valid; '
+            'this VM cannot verify that the key is still valid; '
             'use another address',
             retry_after=return_times.spread(_RETRY_SECONDS, request_id),
         )
