--- a/flamingovalve/gateway/adapter.py
+++ b/flamingovalve/gateway/adapter.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of the platform that it stands on."""
+"""Interface between the gateway and the platform that it runs on."""
 
 from __future__ import annotations
 
@@ -18,38 +18,41 @@
 
 
 class PlatformAdapter(Protocol):
-    """Names, formats and calls of a platform; it decides nothing."""
+    """Translates between the gateway and a platform; contains no policy."""
 
     wire: Wire
     decode: Decoder
 
     def store(self, pool: ConnectionPool) -> Store:
-        """Open the platform's store."""
+        """Create a client of the platform's store."""
 
     def engine(self, pool: ConnectionPool, upstream: Upstream) -> EngineLink:
-        """Open the way to an engine."""
+        """Create a link to an engine."""
 
     def host_of(self, request: Request) -> str:
-        """Give the host that a request is for."""
+        """Return the host that a request is addressed to."""
 
     def request_id(self, request: Request) -> str:
-        """Give the caller's name for a request."""
+        """Return the id that the caller assigned to a request."""
 
     def key_of(self, request: Request) -> bytes:
-        """Give the API key of a request, empty if absent."""
+        """Return the API key of a request; empty if absent."""
 
     def inbound(self, request: Request, route: Route) -> InboundRequest:
-        """Decode a request that takes ``route``."""
+        """Decode a request of ``route``."""
 
     def asked_domain(self, request: Request) -> DomainId | None:
-        """Give a caller's failure domain where it asks for addresses."""
+        """Return the domain of a caller that asks for addresses, else None."""
 
     def error_response(self, error: ServingError) -> Response:
-        """Build the answer that reports an error to a caller."""
+        """Build the response that reports an error to a caller."""
 
     def addresses_response(
         self,
         addresses: list[str],
         seconds: float,
     ) -> Response:
-        """Build the answer to which address to use."""
+        """Build the directory response.
+
+        :param seconds: time for which callers may use the addresses
+        """
--- a/flamingovalve/gateway/front.py
+++ b/flamingovalve/gateway/front.py
@@ -81,7 +81,7 @@
         self, request: Request, outcome: str, started_at: float
     ) -> None:
         self.in_progress -= 1
-        self._metrics.note(outcome, clock.now() - started_at)
+        self._metrics.record_request(outcome, clock.now() - started_at)
         note(
             logger,
             'request',
--- a/flamingovalve/gateway/metrics.py
+++ b/flamingovalve/gateway/metrics.py
@@ -26,9 +26,9 @@
 
 
 class GatewayMetrics(Collector):
-    """What the gateway counts, in the Prometheus text format.
+    """Exports the metrics of the gateway in the Prometheus text format.
 
-    The modules keep plain counts; they are read when somebody asks.
+    Components maintain plain counts, which are read on each scrape.
     """
 
     def __init__(
@@ -36,10 +36,10 @@
         counts: Callable[[], dict[str, Any]],
         gauges: Callable[[], dict[str, float]],
     ) -> None:
-        """Describe what the parts of a daemon count.
+        """Export the counts and gauges of a daemon.
 
-        :param counts: gives the counts of every part by its name
-        :param gauges: gives the gauges by their name
+        :param counts: returns the counts of each component by its name
+        :param gauges: returns the gauges by name
         """
         self._counts = counts
         self._gauges = gauges
@@ -58,23 +58,27 @@
             buckets=_BUCKETS,
         )
 
-    def note(self, outcome: str, seconds: float) -> None:
-        """Count one request."""
+    def record_request(self, outcome: str, seconds: float) -> None:
+        """Record the outcome and the duration of a request."""
         self._requests.labels(outcome).inc()
         self._seconds.observe(seconds)
 
     def exposition(self) -> bytes:
-        """Give all metrics."""
+        """Return all metrics in the text format."""
         return generate_latest(self._registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Give the counts and gauges of this moment."""
-        for group, counts in self._counts().items():
-            for entry in dataclasses.fields(counts):
-                name = f'{_PREFIX}_{group}_{entry.name}'
-                count = getattr(counts, entry.name)
-                meaning = f'Count of {entry.name} of the part {group}.'
-                yield CounterMetricFamily(name, meaning, count)
+        """Collect the current counts and gauges."""
+        for component, counts in self._counts().items():
+            for count_field in dataclasses.fields(counts):
+                name = f'{_PREFIX}_{component}_{count_field.name}'
+                count = getattr(counts, count_field.name)
+                documentation = (
+                    f'Count of {count_field.name} of the part {component}.'
+                )
+                yield CounterMetricFamily(name, documentation, count)
         for name, gauge in self._gauges().items():
-            meaning = f'{name.replace("_", " ").capitalize()} at this moment.'
-            yield GaugeMetricFamily(f'{_PREFIX}_{name}', meaning, gauge)
+            documentation = (
+                f'{name.replace("_", " ").capitalize()} at this moment.'
+            )
+            yield GaugeMetricFamily(f'{_PREFIX}_{name}', documentation, gauge)
--- a/flamingovalve/gateway/model.py
+++ b/flamingovalve/gateway/model.py
@@ -1,4 +1,4 @@
-"""What operators publish, as values: routes, services and upstreams."""
+"""Value types of the published configuration and of upstreams."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     )
 
 
-_DIGEST_BYTES: Final = 16
+_KEY_DIGEST_BYTES: Final = 16
 
 
 class Repeat(Enum):
-    """How often one request of a route may run.
+    """Whether a request of a route may run more than once.
 
-    A stream counts as not repeatable unless the caller's client or this
-    system can resume it behind the last event that it has.
+    A stream is not repeatable unless the caller's client or the gateway can
+    resume it after the last event that was received.
     """
 
     ANY = 'any'
@@ -37,7 +37,7 @@
 
 
 class UpstreamState(Enum):
-    """Whether an upstream takes new requests."""
+    """Whether an upstream accepts new requests."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A share of a route's requests."""
+    """A service of a route, weighted by its share of the requests."""
 
     service: ServiceId
     weight: float
@@ -53,16 +53,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests under one host and path prefix go.
+    """Rules for the requests under one host and path prefix.
 
-    :ivar timeout: longest time to an answer that the operator wants, seconds
-    :ivar target_latency: time to an answer that is worth its full value,
-        seconds; of a stream, to its first event
+    :ivar timeout: upper limit of the response time in seconds, as set by the
+        operator
+    :ivar target_latency: response time in seconds up to which a response has
+        its full value; of a stream, the time to its first event
     :ivar priority: 0 is the most urgent
-    :ivar most_upstreams: upstreams that one request may be sent to
-    :ivar streams: whether the answer is a series of events
-    :ivar longest_pause: longest pause between two events that is in time,
-        seconds
+    :ivar most_upstreams: upper limit of upstreams that may run one request
+    :ivar streams: whether the response is a stream of events
+    :ivar longest_pause: target of the gap between two events in seconds
     :ivar is_public: whether requests are served without an API key
     """
 
@@ -82,11 +82,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What all engines of a service have in common.
+    """Traits that all engines of a service share.
 
-    :ivar batch: requests that run at once
-    :ivar adapter_slots: adapters that an engine can hold
-    :ivar weight_mb: memory for weights and adapters together
+    :ivar batch: number of requests that run concurrently
+    :ivar adapter_slots: number of adapters that an engine can hold
+    :ivar weight_mb: memory for model weights and adapters together, in MB
     :ivar models: the base models, by name
     """
 
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelTraits:
-    """One base model."""
+    """Memory needs of a base model and its adapters, in MB."""
 
     name: ModelId
     weight_mb: float
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamService:
-    """A service; without ``engine`` it is a plain one."""
+    """A service of engines, or a plain service if ``engine`` is None."""
 
     name: ServiceId
     engine: EngineTraits | None = None
@@ -125,8 +125,8 @@
 class Quota:
     """Rate limit of a workspace over all VMs.
 
-    :ivar rate: units a second
-    :ivar burst: most units that can accumulate
+    :ivar rate: units per second
+    :ivar burst: upper limit of accumulated units
     :ivar default_tokens: cost of a request without token counts
     """
 
@@ -136,9 +136,9 @@
     default_tokens: int = 0
 
     def cost_of(self, tokens: int | None) -> float:
-        """Give the cost of a request in units of the quota.
+        """Return the cost of a request in units of the quota.
 
-        :param tokens: prompt and output tokens; none if not counted
+        :param tokens: prompt and output tokens; None if not counted
         """
         if self.unit is QuotaUnit.REQUESTS:
             return 1
@@ -149,8 +149,8 @@
 class Workspace:
     """A tenant whose callers share API keys and a priority.
 
-    :ivar priority: overrides the priority of the route unless none
-    :ivar quota: none for no limit
+    :ivar priority: overrides the priority of the route unless None
+    :ivar quota: None for no limit
     """
 
     name: WorkspaceId
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what callers may send, and on how long they may take."""
+    """Limits on the size of requests and on idle connections of callers."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -169,10 +169,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One whole published configuration.
+    """A complete published configuration.
 
     :ivar routes_by_host: routes of each host, longest prefix first
-    :ivar workspaces_by_key: workspaces by the digests of their API keys; none
+    :ivar workspaces_by_key: workspaces by the digests of their API keys; None
         if the configuration defines no workspaces
     """
 
@@ -188,20 +188,20 @@
     )
 
     def needs_key(self, route: Route) -> bool:
-        """Tell whether requests of a route need an API key."""
+        """Return whether requests of a route need an API key."""
         return self.workspaces_by_key is not None and not route.is_public
 
     def workspace_of(self, key: bytes) -> Workspace | None:
-        """Give the workspace that owns an API key."""
+        """Return the workspace that owns an API key, if any."""
         return (self.workspaces_by_key or {}).get(key_digest(key))
 
     def quota_of(self, name: WorkspaceId) -> Quota | None:
-        """Give the quota of a workspace; none for no limit."""
+        """Return the quota of a workspace; None for no limit."""
         workspace = self.workspaces_by_name.get(name)
         return workspace.quota if workspace else None
 
     def find(self, host: str, path: str) -> Route | None:
-        """Give the route with the longest prefix that begins ``path``."""
+        """Return the route of a host with the longest matching prefix."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -210,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """One running upstream as it describes itself."""
+    """A running upstream, as described by its registration."""
 
     id: UpstreamId
     service: ServiceId
@@ -222,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdapterVersion:
-    """A version of an adapter that requests have to be served with."""
+    """The version of an adapter that requests must be served with."""
 
     model: ModelId
     adapter: AdapterId
@@ -230,11 +230,11 @@
 
 
 def key_digest(key: bytes) -> bytes:
-    """Give the digest by which an API key is looked up.
+    """Return the digest by which an API key is looked up.
 
-    Lookup by digest keeps its timing from revealing a partly correct key.
+    With lookup by digest, the timing does not reveal a partly correct key.
     """
-    return hashlib.blake2b(key, digest_size=_DIGEST_BYTES).digest()
+    return hashlib.blake2b(key, digest_size=_KEY_DIGEST_BYTES).digest()
 
 
 EMPTY: Final = Configuration()
