--- a/tests/rig/site.py
+++ b/tests/rig/site.py
@@ -67,7 +67,7 @@
 
 @dataclass
 class SiteVm:
-    """One VM and the process that runs on it now."""
+    """A VM and its current gateway process, if any."""
 
     id: str
     front: str
@@ -80,10 +80,10 @@
 
 
 class Site:
-    """Store, upstreams, VMs and a caller."""
+    """A deployment of store, upstreams and VMs, with one caller."""
 
     def __init__(self, vms: int = 3, engines: int = 2, slots: int = 2) -> None:
-        """Start the stand-ins and publish them; no daemon yet."""
+        """Start and publish the stand-ins, without gateway daemons."""
         self.world = World()
         self.links = Links(1, self.world.traffic)
         self.store = self._stand_in('store', PlatformStoreStandIn)
@@ -104,7 +104,7 @@
 
     @classmethod
     def started(cls, vms: int = 3, engines: int = 2, slots: int = 2) -> Site:
-        """Give a site whose daemons serve, with an owner of the engines."""
+        """Return a site whose daemons serve and whose engines have an owner."""
         site = cls(vms, engines, slots)
         for vm_id in site.vms_by_id:
             site.start(vm_id)
@@ -112,13 +112,16 @@
         return site
 
     def close(self) -> None:
-        """End everything."""
+        """Stop all nodes."""
         self.world.close()
 
-    # -- What is published
+    # -- Published entries
 
     def publish(self, **changes: Any) -> None:
-        """Publish a configuration."""
+        """Publish a new version of the configuration.
+
+        :param changes: top-level entries that replace the defaults
+        """
         self.version += 5
         engine = {
             'Slots': 8,
@@ -145,7 +148,7 @@
         runner: PlatformRunnerStandIn,
         state: str = 'ready',
     ) -> None:
-        """Let an upstream say how it is."""
+        """Publish the registration of an upstream."""
         is_engine = isinstance(runner, PlatformEngineStandIn)
         entry = {
             'Service': 'engines' if is_engine else 'app',
@@ -168,7 +171,7 @@
     # -- Processes
 
     def start(self, vm_id: str) -> GatewayDaemon:
-        """Start a process on a VM."""
+        """Start a gateway process on a VM."""
         vm = self.vms_by_id[vm_id]
         vm.starts += 1
         network = FaultNetwork(self.links, vm_id)
@@ -185,7 +188,7 @@
         return vm.daemon
 
     def kill(self, vm_id: str) -> None:
-        """End the process of a VM as SIGKILL does."""
+        """Kill the process of a VM as by SIGKILL."""
         vm = self.vms_by_id[vm_id]
         if vm.node is not None:
             self.world.kill(vm.node)
@@ -193,7 +196,7 @@
         vm.daemon = None
 
     def owner(self) -> str:
-        """Give the VM that owns the engines."""
+        """Return the id of the VM that owns the engines."""
         owners = [
             vm.id
             for vm in self.vms_by_id.values()
@@ -203,7 +206,7 @@
         return owners[0]
 
     def others(self) -> list[str]:
-        """Give the running VMs that do not own the engines."""
+        """Return the ids of the running VMs that do not own the engines."""
         owner = self.owner()
         return [
             vm.id
@@ -214,7 +217,7 @@
     # -- Requests
 
     def call(self, path: str, **headers: str) -> UpstreamCall:
-        """Give a request of a caller, under a name of its own."""
+        """Return a request of a caller with a unique attempt id."""
         self.sent += 1
         lines = [
             ('Host', HOST),
@@ -225,7 +228,7 @@
         return UpstreamCall('POST', path, lines, b'body', HOST)
 
     def chat(self, adapter: str = '', path: str = '/chats/1') -> UpstreamCall:
-        """Give a request for a completion."""
+        """Return a request for a completion."""
         return self.call(
             path,
             Model=f'base/{adapter}' if adapter else 'base',
@@ -234,31 +237,31 @@
         )
 
     def send(self, vm_id: str, call: UpstreamCall) -> Response:
-        """Send a request to a VM and wait for its whole answer."""
+        """Send a request to a VM and wait for the complete response."""
         return self.caller.send(self.vms_by_id[vm_id].front, call, 10)
 
     def begin(self, vm_id: str, call: UpstreamCall) -> curio.Task:
-        """Send a request to a VM and do not wait."""
+        """Send a request to a VM without waiting for the response."""
         return self.caller.start(self.vms_by_id[vm_id].front, call, 10)
 
     def wait(self, task: curio.Task) -> Any:
-        """Wait for a request that was begun."""
+        """Wait for the response to a request sent by :meth:`begin`."""
         assert self.world.run_until(lambda: task.terminated, 20)
         return task.result
 
     def ask_directory(self, vm_id: str) -> Response:
-        """Ask a VM which addresses to use."""
+        """Request the addresses of the directory of a VM."""
         target = f'/resolve?Name={HOST}&Region=here&Zone=east'
         call = UpstreamCall('GET', target, [])
         return self.caller.send(self.vms_by_id[vm_id].directory, call, 5)
 
-    def _stand_in(self, name: str, kind: Any, *more: Any) -> Any:
+    def _stand_in(self, name: str, kind: Any, *extra_args: Any) -> Any:
         network = FaultNetwork(self.links, name)
         node = self.world.add(name, network)
-        named = () if kind is PlatformStoreStandIn else (name,)
-        made = kind(network, free_address(), *named, *more)
-        node.spawn(made.run)
-        return made
+        name_args = () if kind is PlatformStoreStandIn else (name,)
+        stand_in = kind(network, free_address(), *name_args, *extra_args)
+        node.spawn(stand_in.run)
+        return stand_in
 
     def _vm(self, index: int) -> SiteVm:
         domain = _DOMAINS[index % len(_DOMAINS)]
--- a/tests/rig/workspace_faults.py
+++ b/tests/rig/workspace_faults.py
@@ -14,9 +14,10 @@
 RATE: Final = 40.0
 BURST: Final = 40.0
 WINDOW_SECONDS: Final = 8.0
-# Slack allowed to a deployment's largest workspaces, in seconds of their rate.
+# Excess that the largest workspaces of a deployment are allowed, in seconds of
+# their rate.
 _QUOTA_SLACK_SECONDS: Final = 0.75
-_LONGEST_BATCH_SECONDS: Final = 2.0
+_MAX_BATCH_SECONDS: Final = 2.0
 _REQUEST_INTERVAL_SECONDS: Final = 0.01
 
 
@@ -66,7 +67,7 @@
 
     def ask(self) -> None:
         """Send a batch of requests, some with revoked keys."""
-        seconds = self.chance.uniform(0, _LONGEST_BATCH_SECONDS)
+        seconds = self.chance.uniform(0, _MAX_BATCH_SECONDS)
         for _request in range(int(seconds / _REQUEST_INTERVAL_SECONDS)):
             if self.running():
                 self._send()
@@ -130,11 +131,13 @@
 def _excess_windows(executed: list[SentRequest]) -> list[str]:
     quota = RATE * WINDOW_SECONDS + BURST
     allowed = quota * (1 + QUOTA_OVERAGE) + RATE * _QUOTA_SLACK_SECONDS
-    first = most = 0
+    first = max_count = 0
     for last, request in enumerate(executed):
         while executed[first].sent_at < request.sent_at - WINDOW_SECONDS:
             first += 1
-        most = max(most, last - first + 1)
-    if most > allowed:
-        return [f'{most} requests ran in a window that allows {allowed:.0f}']
+        max_count = max(max_count, last - first + 1)
+    if max_count > allowed:
+        return [
+            f'{max_count} requests ran in a window that allows {allowed:.0f}'
+        ]
     return []
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -31,12 +31,12 @@
         self.site.publish(Tenants=list(workspaces))
 
     def status(self, vm_id, key, path='/reads/1'):
-        """Send a request with a key and give the response status."""
+        """Send a request with a key and return the response status."""
         call = self.site.call(path, Api_Key=key)
         return self.site.send(vm_id, call).status
 
     def headers_seen(self):
-        """Give the headers of every call that reached an application."""
+        """Return the headers of every call that reached an application."""
         return [h for app in self.site.apps for h in app.headers_seen]
 
 
@@ -120,7 +120,7 @@
     """Revoked keys."""
 
     def revoke(self):
-        """Revoke a key and give the time."""
+        """Revoke a key and return the time of its revocation."""
         self.publish({**OURS, 'ApiKeys': ['key-2']}, THEIRS)
         return self.site.world.monotonic()
 
@@ -147,7 +147,7 @@
         self.assertEqual(self.status('vm-2', 'key-2'), 200)
 
     def test_paused_vm_serves_no_key_when_it_resumes(self):
-        """A resumed process must not trust a confirmation from before."""
+        """A resumed process must not rely on a confirmation made earlier."""
         node = self.site.vms_by_id['vm-2'].node
         self.assertEqual(self.status('vm-2', 'key-1'), 200)
         node.paused = True
@@ -196,14 +196,14 @@
     """How the age of a confirmation is measured."""
 
     def test_suspension_of_the_vm_counts(self):
-        """The monotonic clock stands still while a VM is suspended."""
-        moment = [100.0]
-        clock.replace_source(lambda: 1.0, lambda: 1.0, lambda: moment[0])
+        """The monotonic clock does not advance while a VM is suspended."""
+        boot_time = [100.0]
+        clock.replace_source(lambda: 1.0, lambda: 1.0, lambda: boot_time[0])
         self.addCleanup(clock.restore_source)
         confirmation = Confirmation()
         self.assertEqual(confirmation.age(), float('inf'))
         confirmation.note(clock.boot(), 0.5)
-        moment[0] += 7
+        boot_time[0] += 7
         self.assertEqual(confirmation.age(), 7.5)
 
     def test_older_confirmation_does_not_replace_a_newer_one(self):
@@ -245,7 +245,7 @@
             with self.assertRaises(Undecodable):
                 self.configuration(bad)
 
-    def test_key_is_not_kept(self):
+    def test_key_is_not_stored(self):
         decoded = self.configuration([OURS])
         self.assertNotIn('key-1', repr(decoded))
         self.assertEqual(decoded.workspace_of(b'key-1').name, 'ours')
--- a/tests/test_credit.py
+++ b/tests/test_credit.py
@@ -12,7 +12,7 @@
 RATE = 100.0
 BURST = 50.0
 QUOTA = Quota(RATE, BURST)
-LARGEST = 40.0
+MAX_COST = 40.0
 
 
 class TestCreditBucket(TimedTestCase):
@@ -44,7 +44,7 @@
         self.assertLessEqual(max(bucket.take(1e9) for _ask in range(3)), 5)
 
     def test_large_request_does_not_hold_small_ones_back(self):
-        """Overdrawn by one large request, the bucket would refuse many."""
+        """A large request that overdrew the bucket would block small ones."""
         bucket = CreditBucket(QUOTA, self.moment - 10)
         bucket.take(30)
         self.assertGreater(bucket.take(40), 0)
@@ -70,14 +70,14 @@
         self.assertEqual(taken, 2)
 
     def test_no_window_exceeds_the_quota(self):
-        """Random sizes and times, with some of the requests given back."""
+        """Random sizes and times, with the credit of some requests returned."""
         for seed in range(40):
             rng = random.Random(seed)
             bucket = CreditBucket(QUOTA, self.moment)
             served = []
             for _step in range(400):
                 self.advance(rng.choice((0, 0.001, 0.05, 2)))
-                size = rng.uniform(1, LARGEST)
+                size = rng.uniform(1, MAX_COST)
                 if bucket.take(size) == 0:
                     if rng.random() < 0.2:
                         bucket.give_back(size)
@@ -119,14 +119,14 @@
 
 
 def worst_excess(served):
-    """Give the most by which any window exceeds rate times length plus burst."""
-    worst = level = 0.0
-    last = served[0][0] if served else 0.0
-    for at, size in served:
-        level = max(level - (at - last) * RATE, 0) + size
-        last = at
-        worst = max(worst, level - BURST)
-    return worst
+    """Return the largest excess of any window over its allowance."""
+    max_excess = level = 0.0
+    previous = served[0][0] if served else 0.0
+    for taken_at, size in served:
+        level = max(level - (taken_at - previous) * RATE, 0) + size
+        previous = taken_at
+        max_excess = max(max_excess, level - BURST)
+    return max_excess
 
 
 if __name__ == '__main__':
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Whole gateway daemons on a small stand-in of the users' platform."""
+"""Complete gateway daemons on stand-ins of the users' platform."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def events_of(body: bytes) -> list[str]:
-    """Give the data of a stream's events."""
+    """Return the data of each event of a stream."""
     lines = body.decode().split('\n')
     return [line.removeprefix('data: ') for line in lines if 'data' in line]
 
@@ -27,16 +27,17 @@
 class TestCalls(SiteTest):
     """Calls of plain services."""
 
-    def test_answer_is_passed_back_whole(self):
+    def test_complete_response_is_returned(self):
         response = self.site.send('vm-0', self.site.call('/reads/7?x=1'))
         self.assertEqual(response.status, 200)
         self.assertIn(b'ran /reads/7?x=1', response.body)
         self.assertTrue(response.header('response-seal'))
 
-    def test_what_is_ours_to_set_is_not_the_callers(self):
-        """A caller sends a header by which only this system reserves memory.
+    def test_reserved_headers_of_callers_are_dropped(self):
+        """A caller sends the header that reserves engine memory.
 
-        Passed on, it would give the caller another request's place.
+        If it were forwarded, the caller would use the place of another
+        request.
         """
         call = self.site.call('/reads/1', Hold='h1', Request_Priority='0')
         self.site.send('vm-0', call)
@@ -59,11 +60,12 @@
         }
         self.assertEqual(statuses, {200})
 
-    def test_order_whose_answer_is_lost_runs_once(self):
-        """An upstream runs a laser order and its answer is lost.
+    def test_order_whose_response_is_lost_runs_once(self):
+        """An upstream runs a non-idempotent order and its response is lost.
 
-        Sent again, it would ruin a bottle; called not run, its caller would
-        send it again.
+        Guards against a retry by the gateway, and against a response that
+        claims that the order did not run, after which the caller would
+        retry. A second run would ruin the engraved bottle.
         """
         for app in self.site.apps:
             app.lose_answers = 1
@@ -73,7 +75,7 @@
         runs = sum(sum(a.runs_by_request.values()) for a in self.site.apps)
         self.assertEqual(runs, 1)
 
-    def test_order_that_nobody_takes_has_not_run(self):
+    def test_order_refused_by_all_upstreams_has_not_run(self):
         for app in self.site.apps:
             app.full = True
         response = self.site.send('vm-0', self.site.call('/orders/1'))
@@ -81,7 +83,7 @@
         self.assertGreater(float(response.header('retry-after')), 0)
         self.assertFalse(any(a.runs_by_request for a in self.site.apps))
 
-    def test_upstreams_own_failure_is_passed_back(self):
+    def test_failure_response_of_upstream_is_returned(self):
         for app in self.site.apps:
             app.failures = 5
         response = self.site.send('vm-0', self.site.call('/orders/1'))
@@ -110,17 +112,18 @@
         self.assertGreaterEqual(len(served), 8)
         self.assertEqual([e.crashes for e in self.site.engines], [0, 0])
 
-    def test_broken_chat_is_broken_visibly(self):
-        """An engine's connection breaks within a stream.
+    def test_broken_chat_is_reported_as_broken(self):
+        """The connection to an engine breaks during a stream.
 
-        Ended cleanly, the fragment would pass for the whole answer.
+        If the stream to the caller ended cleanly, the fragment would look
+        like a complete response.
         """
         for engine in self.site.engines:
             engine.break_after = 2
         lost = self.site.wait(self.site.begin('vm-0', self.site.chat('a')))
         self.assertIsInstance(lost, Exception)
 
-    def test_broken_review_goes_on_behind_its_last_event(self):
+    def test_broken_review_resumes_after_its_last_event(self):
         self.site.engines[0].break_after = 2
         self.site.engines[1].break_after = 2
         call = self.site.chat('a', '/reviews/1')
@@ -141,10 +144,10 @@
         self.assertIn(2, newest)
 
     def test_replacement_that_fails_keeps_its_slot(self):
-        """The load of a newer version is lost on its way.
+        """The load of a newer adapter version fails.
 
-        The old version was forgotten while it still took a slot, and the
-        next load overfilled the engine.
+        Guards against forgetting the old version, which still occupies its
+        slot, so that the next load would overfill the engine.
         """
         for name in ('a', 'b', 'c', 'd'):
             self.site.send('vm-0', self.site.chat(name))
@@ -159,10 +162,11 @@
             self.site.send('vm-1', self.site.chat(name))
         self.assertEqual([e.crashes for e in self.site.engines], [0, 0])
 
-    def test_caller_that_leaves_while_a_load_fails_holds_no_place(self):
-        """A caller leaves while its adapter is being loaded, in vain.
+    def test_caller_that_disconnects_while_a_load_fails_holds_no_place(self):
+        """A caller disconnects while the load of its adapter fails.
 
-        Its request was queued again and got a place that nobody gave back.
+        Guards against queueing its request again, which then got a place
+        that was never released.
         """
         for engine in self.site.engines:
             engine.order_seconds = 0.3
@@ -181,12 +185,13 @@
     def test_unknown_adapter_is_refused_at_once(self):
         """A caller names an adapter that does not exist.
 
-        The owner ordered its load again and again until the caller left.
+        Guards against an owner that repeats the load order until the caller
+        disconnects.
         """
-        began = self.site.world.monotonic()
+        started_at = self.site.world.monotonic()
         response = self.site.send('vm-0', self.site.chat('unknown'))
         self.assertEqual(response.status, 503)
-        self.assertLess(self.site.world.monotonic() - began, 0.5)
+        self.assertLess(self.site.world.monotonic() - started_at, 0.5)
         refused = sum(e.refused_orders for e in self.site.engines)
         self.assertLessEqual(refused, 2)
 
@@ -197,7 +202,7 @@
 
 
 class TestOwners(SiteTest):
-    """The owner of the engines ends, leaves or falls silent."""
+    """The owner of the engines is killed, leaves or is partitioned."""
 
     def serve_all(self):
         """Send one request to each running VM."""
@@ -226,11 +231,12 @@
         answer = self.site.send(others[0], self.site.chat('b'))
         self.assertEqual(answer.status, 200)
 
-    def test_two_owners_never_take_turns(self):
-        """The owner is cut off from the other VMs, not from the engines.
+    def test_orders_of_two_owners_do_not_alternate(self):
+        """The owner is partitioned from the other VMs, not from the engines.
 
-        Both parts claim the engines. Orders of two holders in turns would
-        count as a broken lease, and each would undo the other's loads.
+        Both partitions claim the engines. Alternating orders of two holders
+        would violate the lease, and each holder would undo the loads of the
+        other.
         """
         owner = self.site.owner()
         others = self.site.others()
@@ -249,9 +255,9 @@
 
 
 class TestPublished(SiteTest):
-    """What is published changes, lapses or is rubbish."""
+    """Published entries change, expire or are malformed."""
 
-    def test_foreign_entries_change_nothing(self):
+    def test_malformed_entries_are_ignored(self):
         self.site.store.put_bytes('servers/odd', b'\xff{')
         self.site.store.put('servers/bare', {'Service': 'app'})
         self.site.store.put_bytes('op/config', b'not json')
@@ -259,7 +265,7 @@
         answer = self.site.send('vm-0', self.site.call('/reads/1'))
         self.assertEqual(answer.status, 200)
 
-    def test_draining_upstream_gets_nothing_new(self):
+    def test_draining_upstream_gets_no_new_requests(self):
         self.site.register(self.site.apps[0], 'draining')
         self.site.world.advance(1.5)
         before = sum(self.site.apps[0].runs_by_request.values())
@@ -268,10 +274,11 @@
         after = sum(self.site.apps[0].runs_by_request.values())
         self.assertEqual(after, before)
 
-    def test_vm_that_the_store_turns_away_learns_from_others(self):
-        """The store refuses one VM while it serves the rest.
+    def test_vm_without_the_store_learns_changes_from_other_vms(self):
+        """One VM cannot reach the store while the others can.
 
-        It would go on with old routes and send to upstreams that have left.
+        Guards against a VM that keeps using old routes and upstreams that
+        have been removed.
         """
         self.site.links.partition(['vm-2'], ['store'])
         self.site.publish(Routes=[])
@@ -279,7 +286,7 @@
         answer = self.site.send('vm-2', self.site.call('/reads/1'))
         self.assertEqual(answer.status, 404)
 
-    def test_older_configuration_is_not_taken_back(self):
+    def test_older_configuration_is_ignored(self):
         self.site.store.put(
             'op/config',
             {'Version': 1, 'Routes': [], 'Services': []},
@@ -288,7 +295,7 @@
         answer = self.site.send('vm-0', self.site.call('/reads/1'))
         self.assertEqual(answer.status, 200)
 
-    def test_store_that_dropped_history_is_read_anew(self):
+    def test_store_that_dropped_history_is_read_again(self):
         self.site.links.partition(['vm-0', 'vm-1', 'vm-2'], ['store'])
         self.site.world.advance(6)
         self.site.register(self.site.apps[0], 'draining')
@@ -297,14 +304,16 @@
         self.site.store.oldest = self.site.store.revision
         self.site.links.heal()
         self.site.world.advance(6)
-        known = self.site.vms_by_id['vm-0'].daemon.catalogue.upstreams('app')
-        self.assertEqual([one.id for one in known], ['app-1'])
+        upstreams = self.site.vms_by_id['vm-0'].daemon.catalogue.upstreams(
+            'app'
+        )
+        self.assertEqual([one.id for one in upstreams], ['app-1'])
 
-    def test_entries_that_lapse_beside_an_outage_come_back(self):
-        """Entries of living upstreams lapse while the store is away.
+    def test_entries_that_expire_during_an_outage_are_kept_for_a_time(self):
+        """Entries of running upstreams expire during a store outage.
 
-        Taken for gone at once, nobody could be served until they register
-        again, up to two seconds later.
+        Guards against removing the upstreams immediately: no request could
+        be served until they register again, up to two seconds later.
         """
         self.site.store.refusal = 503
         self.site.world.advance(5)
@@ -320,10 +329,10 @@
 
 
 class TestStart(unittest.TestCase):
-    """A VM that knows nothing yet."""
+    """Start of VMs without a known configuration."""
 
-    def test_fleet_that_starts_together_leaves_the_store_alone(self):
-        """Guards against a watch by each VM that knows no other yet."""
+    def test_fleet_that_starts_together_does_not_overload_the_store(self):
+        """Guards against a store watch by each VM that knows no other yet."""
         vms = 12
         site = Site(vms)
         self.addCleanup(site.close)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash whatever runs them."""
+"""Quarantine of requests that crash upstreams."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def request(number: int = 0, body: bytes = b'deadly') -> InboundRequest:
-    """Give one try of a request."""
+    """Return one attempt of a request."""
     return InboundRequest(
         RequestId(f'try-{number}'),
         'POST',
@@ -33,36 +33,36 @@
 
 
 class TestCrashes(TimedTestCase):
-    """Two VMs that hear each other."""
+    """Two VMs that exchange rumours."""
 
     def setUp(self) -> None:
-        """Start with upstreams that end when their connections break."""
+        """Start with upstreams that have crashed if their connection breaks."""
         super().setUp()
-        self.has_ended = True
+        self.has_crashed = True
         self.vms = [CrashQuarantine(SECONDS, self._refuses) for _vm in range(2)]
         for vm in self.vms:
             vm.publish = self._publish
 
     async def _refuses(self, _address):
-        """Tell whether the upstream ended."""
-        return self.has_ended
+        """Return whether the upstream has crashed."""
+        return self.has_crashed
 
     async def _publish(self, rumour):
-        """Let both VMs hear."""
+        """Deliver a rumour to both VMs."""
         for vm in self.vms:
             vm.hear(rumour)
 
     def send(self, vm, outcome, body=b'deadly'):
-        """Let a VM send the request once."""
-        one = request(body=body)
-        vm.check(one)
-        curio.run(vm.note, one, upstream('engine-0'), outcome)
+        """Check a request on a VM and record the outcome of sending it."""
+        attempt = request(body=body)
+        vm.check(attempt)
+        curio.run(vm.note, attempt, upstream('engine-0'), outcome)
 
-    def test_fourth_upstream_is_spared(self):
-        """A caller sends a deadly request again and again, to any VM.
+    def test_fourth_upstream_does_not_get_the_request(self):
+        """A caller retries a request that crashes upstreams through any VM.
 
-        Each try took one more engine with all that it ran, until none was
-        left for anybody.
+        Guards against the loss of one more engine, with all requests on it,
+        per attempt, until none is left.
         """
         for number in range(3):
             self.send(self.vms[number % 2], Outcome.LOST)
@@ -72,9 +72,10 @@
             self.assertIs(caught.exception.kind, ErrorKind.QUARANTINED)
 
     def test_answer_clears_a_request(self):
-        """Engines crash under a request that did them no harm.
+        """Engines crash while they run a harmless request.
 
-        Refused for that, its caller would never be served.
+        Guards against a quarantine of that request, whose caller would never
+        be served.
         """
         for _crash in range(2):
             self.send(self.vms[0], Outcome.LOST)
@@ -82,22 +83,22 @@
         self.send(self.vms[0], Outcome.LOST)
         self.send(self.vms[0], Outcome.LOST)
 
-    def test_reset_connection_is_no_crash(self):
-        self.has_ended = False
+    def test_reset_connection_is_not_a_crash(self):
+        self.has_crashed = False
         for _reset in range(5):
             self.send(self.vms[0], Outcome.LOST)
         self.assertEqual(self.vms[0].counts.crashes, 0)
 
-    def test_request_without_a_body_is_left_out(self):
+    def test_request_without_a_body_is_exempt(self):
         for _crash in range(5):
             self.send(self.vms[0], Outcome.LOST, b'')
 
-    def test_other_requests_pass(self):
+    def test_other_requests_are_not_quarantined(self):
         for _crash in range(3):
             self.send(self.vms[0], Outcome.LOST)
         self.send(self.vms[0], Outcome.DONE, b'harmless')
 
-    def test_suspicion_ends(self):
+    def test_crash_count_expires(self):
         for _crash in range(3):
             self.send(self.vms[0], Outcome.LOST)
         self.advance(SECONDS + 1)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -12,7 +12,7 @@
 
 
 def workspace(rate=RATE, burst=BURST, **more):
-    """Give a workspace in its published form."""
+    """Return a workspace in its published form."""
     return {
         'Name': 'ours',
         'ApiKeys': ['key'],
@@ -34,11 +34,11 @@
         self.tasks = []
 
     def vms(self):
-        """Give the ids of the running VMs."""
+        """Return the ids of the running VMs."""
         return [vm.id for vm in self.site.vms_by_id.values() if vm.daemon]
 
     def flood(self, seconds, interval=0.01, vms=None, path='/reads/1'):
-        """Send a request every ``interval`` seconds, through the VMs in turn."""
+        """Send a request every ``interval`` seconds, to the VMs in turn."""
         vms = vms or self.vms()
         for number in range(round(seconds / interval)):
             call = self.site.call(path, Api_Key='key')
@@ -47,11 +47,11 @@
         self.site.world.advance(1)
 
     def run_count(self):
-        """Give the number of requests that ran."""
+        """Return the number of requests that ran."""
         return sum(sum(app.runs_by_request.values()) for app in self.site.apps)
 
     def keeper(self):
-        """Give the id of the VM that keeps the quota."""
+        """Return the id of the VM that keeps the quota."""
         daemon = self.site.vms_by_id['vm-0'].daemon
         first = daemon.quotas._keepers('ours')[0]
         return next(
@@ -144,7 +144,7 @@
         self.assertLessEqual(served, RATE * 5 + 2 + VMS)
         self.assertGreaterEqual(served, RATE * 3)
 
-    def test_split_fleet_keeps_within_the_quota(self):
+    def test_partitioned_fleet_keeps_within_the_quota(self):
         self.flood(2)
         before = self.run_count()
         self.site.links.partition(['vm-0', 'vm-1'], ['vm-2', 'vm-3'])
@@ -180,7 +180,7 @@
             self.run_count() - before, (RATE * 5 + BURST) * 1.25
         )
 
-    def test_frozen_keeper_causes_few_refusals(self):
+    def test_paused_keeper_causes_few_refusals(self):
         keeper = self.keeper()
         others = [name for name in self.vms() if name != keeper]
         self.site.vms_by_id[keeper].node.paused = True
--- a/tests/test_sending.py
+++ b/tests/test_sending.py
@@ -1,4 +1,4 @@
-"""What is no longer sent to an upstream."""
+"""Requests that must no longer be sent to an upstream."""
 
 from __future__ import annotations
 
@@ -13,50 +13,50 @@
 from tests.rig.timeline import TimedTestCase
 
 
-class WatchedConnection:
-    """A connection on which nothing must be sent."""
+class UnusedConnection:
+    """A connection that fails the test if a request is sent on it."""
 
     async def send(self, _call, _seconds):
-        """Fail: a request that nobody waits for was sent."""
-        raise AssertionError('a request was sent that nobody waits for')
+        """Fail, as no caller waits for the request."""
+        raise AssertionError('a request was sent that no caller waits for')
 
     async def close(self):
-        """End."""
+        """Do nothing."""
 
 
 class SlowPool:
-    """Opens a connection after a while."""
+    """A pool whose connections take a given time to open."""
 
     def __init__(self, case, seconds):
-        """Let ``seconds`` pass on the clock of ``case``."""
+        """Advance the clock of ``case`` by ``seconds`` per connection."""
         self.case = case
         self.seconds = seconds
 
     async def take(self, _address):
-        """Give a connection late."""
+        """Advance the clock and return a connection."""
         self.case.advance(self.seconds)
-        return WatchedConnection()
+        return UnusedConnection()
 
     async def give(self, _connection):
-        """Take it back."""
+        """Accept a returned connection."""
 
 
-class PlainWire:
-    """Builds calls of nothing."""
+class EmptyWire:
+    """A wire format without calls."""
 
     def call_of(self, _request, _upstream, _sending):
-        """Give nothing."""
+        """Return no call."""
 
 
 class TestSending(TimedTestCase):
-    """A request whose caller may have left before it is sent."""
+    """Requests whose caller may have given up before they are sent."""
 
     def request(self, **changes):
-        """Give a request with a second left."""
+        """Return a request with a deadline in one second."""
         route = Route(
             'status', 'host', '/', Repeat.ANY, 1, 0.1, 0, (), 2, streams=False
         )
-        made = InboundRequest(
+        inbound = InboundRequest(
             RequestId('one'),
             'GET',
             '/',
@@ -68,12 +68,12 @@
             1,
         )
         for name, content in changes.items():
-            setattr(made, name, content)
-        return made
+            setattr(inbound, name, content)
+        return inbound
 
     def send(self, request, seconds):
-        """Send over a connection that takes ``seconds`` to open."""
-        relay = UpstreamRelay(SlowPool(self, seconds), PlainWire())
+        """Send a request over a connection that takes ``seconds`` to open."""
+        relay = UpstreamRelay(SlowPool(self, seconds), EmptyWire())
         return curio.run(
             relay.exchange,
             request,
@@ -82,18 +82,20 @@
         )
 
     def test_deadline_that_passes_while_a_connection_opens(self):
-        """An upstream takes its connection late, after the deadline.
+        """An upstream accepts the connection after the deadline.
 
-        The request was sent on for nobody, and took a place from others.
+        Guards against sending the request, which would take capacity from
+        live requests.
         """
         sent = self.send(self.request(), 1.5)
         self.assertIs(sent.outcome, Outcome.UNREACHABLE)
 
-    def test_caller_that_left_before_its_request_was_read(self):
-        """A VM was short of processor time and read a request late.
+    def test_caller_that_disconnected_before_its_request_was_read(self):
+        """A VM is short of CPU time and reads a request late.
 
-        Its caller had closed the connection. The request still went to an
-        upstream, two seconds after the caller had left.
+        Its caller has closed the connection. Guards against sending the
+        request to an upstream, which happened two seconds after the caller
+        had disconnected.
         """
         request = self.request(has_caller_left=lambda: True)
         with self.assertRaises(ConnectionLost):
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""A caller's request reaches the right adapter version, whole."""
+"""Completions served by the requested adapter version."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 def expected_text(name: str, prompt: str) -> str:
-    """Give the text that an adapter answers to a prompt."""
+    """Return the text that an adapter generates for a prompt."""
     content = {'messages': [{'role': 'user', 'content': prompt}]}
     return ''.join(tokens_of(name, content))
 
 
 def text_of(body: bytes) -> str:
-    """Give the text of a whole answer."""
+    """Return the text of a complete response."""
     return json.loads(body)['choices'][0]['message']['content']
 
 
 def streamed_text(body: bytes) -> str:
-    """Give the text of a streamed answer; it must be complete."""
+    """Return the text of a streamed response, which must be complete."""
     events = body.decode().split('\n\n')
     assert events[-2:] == ['data: [DONE]', ''], 'no end marker'
     chunks = [json.loads(event[len('data: ') :]) for event in events[:-2]]
@@ -113,35 +113,37 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """Requests that may not be served get a typed error."""
+    """Requests that must be refused with a typed error."""
 
     @classmethod
     def setUpClass(cls):
-        """Start one fleet for all."""
+        """Start one fleet for all tests."""
         cls.fleet = Fleet.started(Shape(vms=1, engines=1))
 
     @classmethod
     def tearDownClass(cls):
-        """End it."""
+        """Stop the fleet."""
         cls.fleet.close()
 
-    def refuse(self, status, kind, model, **options):
-        """Check the refusal of one completion."""
+    def check_refusal(self, status, kind, model, **options):
+        """Check status and error type of a refused completion."""
         response = self.fleet.complete('vm-0', model, **options)
         self.assertEqual(response.status, status)
         self.assertEqual(error_type(response), kind)
 
     def test_unknown_adapter(self):
-        self.refuse(404, 'unknown_adapter', 'nobody')
+        self.check_refusal(404, 'unknown_adapter', 'nobody')
 
     def test_unknown_version(self):
-        self.refuse(404, 'unknown_version', 'adapter-1@9')
+        self.check_refusal(404, 'unknown_version', 'adapter-1@9')
 
     def test_unknown_application(self):
-        self.refuse(401, 'unknown_application', 'adapter-1', application='x')
+        self.check_refusal(
+            401, 'unknown_application', 'adapter-1', application='x'
+        )
 
     def test_application_not_allowed(self):
-        self.refuse(
+        self.check_refusal(
             403,
             'application_not_allowed',
             'adapter-1',
@@ -149,7 +151,9 @@
         )
 
     def test_deadline_is_a_number(self):
-        self.refuse(400, 'malformed_request', 'adapter-1', deadline='soon')
+        self.check_refusal(
+            400, 'malformed_request', 'adapter-1', deadline='soon'
+        )
 
     def test_unknown_path_and_method(self):
         address = self.fleet.vms_by_id['vm-0'].http_address
