--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -140,7 +140,7 @@
         await self.fleet.engines_by_id['engine-0'].crash()
 
     def _dispatched(self, ticket: Ticket) -> None:
-        waited = ticket.granted_at - ticket.entered_at
+        waited = ticket.dispatched_at - ticket.entered_at
         priority = ticket.priority.value
         self.outcome.waits[priority].record_value(_ms(waited))
         self.outcome.firsts.record_value(_ms(waited + TOKEN_SECONDS))
--- a/flamingovalve/daemon.py
+++ b/flamingovalve/daemon.py
@@ -201,7 +201,7 @@
         self.rumours = GossipHandlers(self)
         self.gossip.rumour_listener = self.rumours.hear
         self.gossip.standing_rumours = self.rumours.standing_rumours
-        self.gossip.late_listeners.append(self.engines.suspect_leases)
+        self.gossip.late_listeners.append(self.engines.invalidate_leases)
         self.keeper.accepted_listeners.append(self._accepted)
 
     # -- Life
--- a/flamingovalve/engines/owner.py
+++ b/flamingovalve/engines/owner.py
@@ -253,7 +253,7 @@
         self._adopt(report.ok)
         await self._extend_lease(asked_at)
         logger.info('engine {} has been claimed by this VM', self.engine.id)
-        await self.scheduler.pump()
+        await self.scheduler.schedule()
         return True
 
     def _compute_quiet_seconds(self) -> float:
@@ -305,7 +305,7 @@
         report = await self.api.report()
         if report.is_ok():
             await self._reconcile(report.ok, clock.now() - report.ok.age)
-        await self.scheduler.pump()
+        await self.scheduler.schedule()
 
     def _is_superseded(self, number: int | None) -> bool:
         if not self.engine.fencing or number is None:
--- a/flamingovalve/engines/queue.py
+++ b/flamingovalve/engines/queue.py
@@ -31,7 +31,7 @@
     :ivar deadline: on the local clock
     :ivar isolated: whether to run it while no other request runs
     :ivar entered_at: when it was queued, on the local clock
-    :ivar granted_at: when it was dispatched; negative before that
+    :ivar dispatched_at: when it was dispatched; negative before that
     :ivar resident: the adapter in its slot, once it is dispatched
     :ivar stalled: whether it had to wait for a load
     :ivar stall_seconds: how long it waited for the load
@@ -44,7 +44,7 @@
     deadline: float
     isolated: bool = False
     entered_at: float = 0
-    granted_at: float = -1
+    dispatched_at: float = -1
     resident: Resident | None = None
     stalled: bool = False
     stall_seconds: float = 0
--- a/flamingovalve/engines/scheduler.py
+++ b/flamingovalve/engines/scheduler.py
@@ -129,10 +129,10 @@
         if ticket.resident is not None:
             ticket.resident.unpin()
         if served:
-            self.services.add(clock.now() - ticket.granted_at)
-        await self.pump()
+            self.services.add(clock.now() - ticket.dispatched_at)
+        await self.schedule()
 
-    async def pump(self) -> None:
+    async def schedule(self) -> None:
         """Dispatch ready requests and start loads of adapters they wait for."""
         await self._dispatch_all()
         previously_draining = self._draining
@@ -150,7 +150,7 @@
         self._store.ended(seconds if error is None else None)
         if order.name in self.residents.by_name:
             await self._apply_load_outcome(order, error, seconds)
-        await self.pump()
+        await self.schedule()
 
     async def evict_all(self) -> None:
         """Remove every adapter: the engine restarted with empty slots."""
@@ -198,14 +198,14 @@
         remaining = max(ticket.deadline - clock.now(), 0)
         try:
             async with curio.timeout_after(remaining):
-                await self.pump()
+                await self.schedule()
                 await ticket.decided.wait()
         except curio.TaskTimeout as timeout:
             raise _deadline_passed() from timeout
 
     async def _withdraw(self, ticket: Ticket) -> None:
         self._update_seat_seconds()
-        if not self.queue.remove(ticket) and ticket.granted_at >= 0:
+        if not self.queue.remove(ticket) and ticket.dispatched_at >= 0:
             await self.leave(ticket, served=False)
 
     async def _refuse(self, ticket: Ticket, error: ServingError) -> None:
@@ -257,7 +257,7 @@
         self.queue.remove(ticket)
         ticket.resident = self.residents.by_name[ticket.name]
         ticket.resident.pin()
-        ticket.granted_at = clock.now()
+        ticket.dispatched_at = clock.now()
         self.running += 1
         self._isolated = ticket.isolated
         self.counts.dispatched += 1
--- a/flamingovalve/engines/store.py
+++ b/flamingovalve/engines/store.py
@@ -101,7 +101,7 @@
         self._rumours_by_vm[rumour.vm] = (clock.now(), rumour)
         return True
 
-    def changed_rumour(self) -> StoreRumour | None:
+    def due_rumour(self) -> StoreRumour | None:
         """Return the rumour of this VM's use, if one is due.
 
         At most one rumour is due per second. It is repeated while the use
--- a/flamingovalve/gossip_handlers.py
+++ b/flamingovalve/gossip_handlers.py
@@ -70,13 +70,13 @@
             for rumour in self._daemon.hot_adapters.rumours():
                 await self._daemon.gossip.push(rumour)
             self._tell_store_use()
-            await self._daemon.engines.pump()
+            await self._daemon.engines.schedule()
 
     def _tell_store_use(self) -> None:
         # With many VMs this news would crowd out the rest; each then takes
         # its share from the store's slowness alone.
         if len(self._daemon.members.by_id) > _STORE_GOSSIP_VMS:
             return
-        rumour = self._daemon.store.changed_rumour()
+        rumour = self._daemon.store.due_rumour()
         if rumour is not None:
             self._daemon.gossip.rumours.add(rumour)
--- a/flamingovalve/routing/engines.py
+++ b/flamingovalve/routing/engines.py
@@ -106,7 +106,7 @@
             if engine_id not in self._owned_by_id:
                 await self._acquire(engine)
 
-    async def pump(self) -> None:
+    async def schedule(self) -> None:
         """Run every scheduler that has waiting requests.
 
         A different scheduler goes first each time: the first one takes what
@@ -118,9 +118,9 @@
         first = self._rotation % max(len(owners), 1)
         for owner in (*owners[first:], *owners[:first]):
             if len(owner.scheduler.queue):
-                await owner.scheduler.pump()
+                await owner.scheduler.schedule()
 
-    def suspect_leases(self) -> None:
+    def invalidate_leases(self) -> None:
         """Stop dispatching until leases are renewed.
 
         Called when this process was paused.
@@ -168,7 +168,7 @@
         )
         owner.crash_listeners.append(self._record_crash)
         # The end of a load on any engine frees store budget for all of them.
-        owner.loader.end_listener = self.pump
+        owner.loader.end_listener = self.schedule
         task = await curio.spawn(owner.run, daemon=True)
         self._owned_by_id[engine.id] = _OwnedEngine(owner, task)
 
