--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -130,7 +130,7 @@
             index.to_bytes(32, 'big'),
         )
         if record is not None:
-            record.keep(200, 'application/json', b'x' * 200)
+            record.record_answer(200, 'application/json', b'x' * 200)
     return claims
 
 
@@ -188,7 +188,7 @@
 
 def _recount(members: MemberTable) -> Any:
     members.epoch += 1
-    members.forget_present()
+    members.invalidate_present()
     return members.present_ids()
 
 
--- a/flamingovalve/claims/executor.py
+++ b/flamingovalve/claims/executor.py
@@ -57,7 +57,7 @@
 class CallExecutor:
     """Runs non-idempotent calls or forwards them to their executor.
 
-    :ivar starts_none: refuse and seal new calls, as while this VM leaves
+    :ivar refuses_new_calls: refuse and seal new calls, as while this VM leaves
     """
 
     def __init__(
@@ -78,7 +78,7 @@
             relay,
         )
         self.counts = self.runner.counts
-        self.starts_none = False
+        self.refuses_new_calls = False
         self._settings = settings.claims
         self._own_id = VmId(settings.vm.id)
         self._incarnation = incarnation
@@ -304,7 +304,7 @@
         return self._response_of(reply_of(record, claim.body_digest))
 
     async def _start(self, claim: Claim) -> ClaimRecord:
-        if self.starts_none:
+        if self.refuses_new_calls:
             # While this VM leaves, it still answers resends. New calls are
             # sealed, so that "not run" stays true after this process ended.
             raise await self._refuse_to_start(claim, refusals.leaving())
--- a/flamingovalve/claims/holders.py
+++ b/flamingovalve/claims/holders.py
@@ -73,7 +73,7 @@
         self._settings = settings
         self._published_lists: list[tuple[float, list[VmId]]] = []
 
-    def note_list(self, published: VmList) -> None:
+    def record_list(self, published: VmList) -> None:
         """Keep a published list until keys made under it have expired."""
         now = clock.wall()
         horizon = now - self._settings.key_seconds
--- a/flamingovalve/claims/runner.py
+++ b/flamingovalve/claims/runner.py
@@ -144,7 +144,7 @@
             return
         self.counts.run += 1
         content_type = response.header('content-type') or ''
-        record.keep(response.status, content_type, response.body)
+        record.record_answer(response.status, content_type, response.body)
         await self._settle(record, claim, ClaimState.FINISHED)
 
     async def _settle(
--- a/flamingovalve/claims/table.py
+++ b/flamingovalve/claims/table.py
@@ -61,7 +61,9 @@
         self.state = state
         await self.settled.set()
 
-    def keep(self, status: int, content_type: str, answer: bytes) -> None:
+    def record_answer(
+        self, status: int, content_type: str, answer: bytes
+    ) -> None:
         """Record the answer of the upstream."""
         self.status = status
         self.content_type = content_type
@@ -71,12 +73,12 @@
         """Copy what another holder knows of the key."""
         self.executor = reply.executor
         self.incarnation = reply.incarnation
-        self.keep(reply.status, reply.content_type, reply.answer)
+        self.record_answer(reply.status, reply.content_type, reply.answer)
 
     def drop_answer(self) -> int:
         """Drop the answer, but not that the call ran; return its size."""
         freed_bytes = len(self.answer)
-        self.keep(0, '', b'')
+        self.record_answer(0, '', b'')
         return freed_bytes
 
 
@@ -179,7 +181,7 @@
         reply.acknowledged = may_run and reply.same_body
         return reply
 
-    async def tell(self, outcome: ClaimTell) -> ClaimReply:
+    async def record_outcome(self, outcome: ClaimTell) -> ClaimReply:
         """Record the outcome that an executor reports of its own claim."""
         record = self.find(outcome.key)
         if record is None:
@@ -190,7 +192,9 @@
         owner = (record.executor, record.incarnation)
         sender = (outcome.executor, outcome.incarnation)
         if record.state not in _SETTLED_STATES and owner == sender:
-            record.keep(outcome.status, outcome.content_type, outcome.answer)
+            record.record_answer(
+                outcome.status, outcome.content_type, outcome.answer
+            )
             await record.settle(outcome.state)
             self.count_answer(record)
         return reply_of(record, record.body_digest)
--- a/flamingovalve/daemon.py
+++ b/flamingovalve/daemon.py
@@ -201,7 +201,7 @@
         self.rumours = GossipHandlers(self)
         self.gossip.rumour_listener = self.rumours.hear
         self.gossip.standing_rumours = self.rumours.standing_rumours
-        self.gossip.late_listeners.append(self.engines.invalidate_leases)
+        self.gossip.late_wakeup_listeners.append(self.engines.invalidate_leases)
         self.keeper.accepted_listeners.append(self._accepted)
 
     # -- Life
@@ -249,7 +249,7 @@
     async def _leave(self) -> None:
         await curio.sleep(self.settings.fleet.leave_seconds)
         self.refuses_work = True
-        self.executor.starts_none = True
+        self.executor.refuses_new_calls = True
         await self.engines.close()
         patience = clock.now() + self.settings.fleet.drain_seconds
         while self._is_busy() and clock.now() < patience:
@@ -377,7 +377,7 @@
         told: messages.ClaimTell,
         _remote: messages.Hello,
     ) -> messages.ClaimReply:
-        return await self.executor.table.tell(told)
+        return await self.executor.table.record_outcome(told)
 
     async def _seal(
         self,
@@ -399,7 +399,7 @@
         keeper = self.keeper
         if keeper.vm_list is not None:
             self.members.replace_list(keeper.vm_list)
-            self.holders.note_list(keeper.vm_list)
+            self.holders.record_list(keeper.vm_list)
         self.placement.replace_inventory(keeper.inventory)
         self.engines.inventory = keeper.inventory
         await self.gossip.push(keeper.own_rumour())
--- a/flamingovalve/gateway/daemon.py
+++ b/flamingovalve/gateway/daemon.py
@@ -269,7 +269,7 @@
         )
         self.gossip.rumour_listener = handlers.hear
         self.gossip.standing_rumours = self._standing_rumours
-        self.gossip.late_listeners.append(self.owned.note_late_wakeup)
+        self.gossip.late_wakeup_listeners.append(self.owned.note_late_wakeup)
         self.follower.listeners.append(self._on_configuration_change)
         self.follower.publish = self.gossip.push
         self.quarantine.publish = self.gossip.push
--- a/flamingovalve/gateway/follower.py
+++ b/flamingovalve/gateway/follower.py
@@ -16,7 +16,7 @@
     DocumentsAsk,
     DocumentsReply,
 )
-from flamingovalve.membership.gossip import News
+from flamingovalve.membership.gossip import Dissemination
 from flamingovalve.peer.client import PeerUnreachable
 from flamingovalve.util import clock
 from flamingovalve.util.logs import get_logger, note
@@ -189,7 +189,7 @@
             return _INITIAL_READ_SECONDS
         return _STORE_UNREACHABLE_SECONDS
 
-    async def hear(self, rumour: CatalogueRumour) -> News:
+    async def hear(self, rumour: CatalogueRumour) -> Dissemination:
         """Fetch documents from another VM if it announces newer ones."""
         newer = rumour.revision > self._catalogue.changed_revision
         if newer and not self._is_being_fetched(rumour):
@@ -199,7 +199,7 @@
                 rumour.revision, clock.now()
             )
             await curio.spawn(self._fetch, rumour.vm, daemon=True)
-        return News.NONE
+        return Dissemination.NONE
 
     def _is_being_fetched(self, rumour: CatalogueRumour) -> bool:
         if rumour.vm in self._pending_fetches:
@@ -210,7 +210,7 @@
             for pending in self._pending_fetches.values()
         )
 
-    async def apply_watch_rumour(self, rumour: WatchRumour) -> News:
+    async def apply_watch_rumour(self, rumour: WatchRumour) -> Dissemination:
         """Record whether another VM reaches the store."""
         return self._watchers.hear(rumour)
 
--- a/flamingovalve/gateway/gossip_handlers.py
+++ b/flamingovalve/gateway/gossip_handlers.py
@@ -11,7 +11,7 @@
     PoisonRumour,
     WatchRumour,
 )
-from flamingovalve.membership.gossip import News
+from flamingovalve.membership.gossip import Dissemination
 
 if TYPE_CHECKING:
     from flamingovalve.gateway.follower import CatalogueFollower
@@ -43,27 +43,27 @@
         self._background = background
 
     @singledispatchmethod
-    async def hear(self, _rumour: Any) -> News:
+    async def hear(self, _rumour: Any) -> Dissemination:
         """Apply a rumour; return whether and how urgently to pass it on."""
-        return News.NONE
+        return Dissemination.NONE
 
     @hear.register
-    async def _catalogue(self, rumour: CatalogueRumour) -> News:
+    async def _catalogue(self, rumour: CatalogueRumour) -> Dissemination:
         return await self._follower.hear(rumour)
 
     @hear.register
-    async def _watch(self, rumour: WatchRumour) -> News:
+    async def _watch(self, rumour: WatchRumour) -> Dissemination:
         return await self._follower.apply_watch_rumour(rumour)
 
     @hear.register
-    async def _poison(self, rumour: PoisonRumour) -> News:
+    async def _poison(self, rumour: PoisonRumour) -> Dissemination:
         return self._quarantine.hear(rumour)
 
     @hear.register
-    async def _owner(self, rumour: OwnerRumour) -> News:
+    async def _owner(self, rumour: OwnerRumour) -> Dissemination:
         before = self._claims.owner(rumour.group)
         news = self._claims.hear(rumour)
-        if news is not News.NONE and before != rumour.vm:
+        if news is not Dissemination.NONE and before != rumour.vm:
             await self._background.spawn(
                 self._places.notify_new_owner,
                 rumour.group,
--- a/flamingovalve/gateway/ownership.py
+++ b/flamingovalve/gateway/ownership.py
@@ -7,7 +7,7 @@
 
 from flamingovalve.generated.ids import VmId
 from flamingovalve.generated.messages import MemberState, OwnerRumour
-from flamingovalve.membership.gossip import News
+from flamingovalve.membership.gossip import Dissemination
 from flamingovalve.membership.members import SETTLE_SECONDS, largest
 from flamingovalve.util import clock, hashing
 from flamingovalve.util.logs import get_logger, note
@@ -125,11 +125,11 @@
         )
         return rumour
 
-    def hear(self, rumour: OwnerRumour) -> News:
+    def hear(self, rumour: OwnerRumour) -> Dissemination:
         """Apply another VM's claim if it has precedence over the known one."""
         known = self.by_group.get(rumour.group)
         if known is not None and _precedence(known) >= _precedence(rumour):
-            return News.NONE
+            return Dissemination.NONE
         self.by_group[rumour.group] = rumour
         self._received_at[rumour.group] = clock.now()
         note(
@@ -140,7 +140,7 @@
             epoch=rumour.epoch,
             provisional=rumour.provisional,
         )
-        return News.URGENT
+        return Dissemination.URGENT
 
     def raise_epoch(self, group: GroupId, epoch: int) -> OwnerRumour | None:
         """Raise the epoch of this VM's claim to one that its owner now uses.
--- a/flamingovalve/gateway/places.py
+++ b/flamingovalve/gateway/places.py
@@ -20,7 +20,7 @@
     Refusal,
 )
 from flamingovalve.peer.client import PeerUnreachable
-from flamingovalve.peer.server import PeerWatch, error_of, refusal_of
+from flamingovalve.peer.server import PeerHeartbeats, error_of, refusal_of
 from flamingovalve.util.logs import get_logger
 from flamingovalve.util.network import has_ended
 
@@ -108,7 +108,7 @@
             # PlaceClient.notify_new_owner.
             await self._connection.close()
             return
-        self._peers.give(self._connection, self._address)
+        self._peers.release(self._connection, self._address)
 
 
 class OwnerSilent(Exception):
@@ -185,7 +185,7 @@
             return
         address = member.vm.peer_address
         try:
-            connection = await self._peers.fresh_enough(address, vm)
+            connection = await self._peers.acquire_live(address, vm)
             await connection.send(hold)
         except (PeerUnreachable, ConnectionLost) as error:
             logger.info('place not reported to VM {}: {}', vm, error)
@@ -216,7 +216,7 @@
             await connection.close()
             raise
         if isinstance(reply, Refusal):
-            self._peers.give(connection, address)
+            self._peers.release(connection, address)
             raise error_of(reply)
         lease = PlaceLease(ask, reply)
         lease.holder = RemoteHolder(self._peers, connection, address)
@@ -230,7 +230,7 @@
             raise OwnerSilent(f'VM {vm} is not a known member yet')
         address = member.vm.peer_address
         try:
-            return address, await self._peers.fresh_enough(address, vm)
+            return address, await self._peers.acquire_live(address, vm)
         except PeerUnreachable as error:
             raise OwnerSilent(str(error)) from error
 
@@ -287,7 +287,7 @@
     ) -> Place:
         """Wait for a place while sending heartbeats to the asking VM."""
         await connection.send(Heartbeat(0))
-        async with PeerWatch(connection, _HEARTBEAT_SECONDS):
+        async with PeerHeartbeats(connection, _HEARTBEAT_SECONDS):
             return await owner.place_in_turn(ask)
 
     async def _wait_for_end(
--- a/flamingovalve/gateway/quarantine.py
+++ b/flamingovalve/gateway/quarantine.py
@@ -20,7 +20,7 @@
 from flamingovalve.gateway.relay import Outcome
 from flamingovalve.generated.ids import Fingerprint
 from flamingovalve.generated.messages import PoisonRumour
-from flamingovalve.membership.gossip import News
+from flamingovalve.membership.gossip import Dissemination
 from flamingovalve.util import clock, hashing
 from flamingovalve.util.logs import get_logger, note
 
@@ -106,14 +106,14 @@
         elif outcome is Outcome.LOST and await self._has_crashed(upstream):
             await self._record_crash(request, upstream)
 
-    def hear(self, rumour: PoisonRumour) -> News:
+    def hear(self, rumour: PoisonRumour) -> Dissemination:
         """Apply the crash count of another VM if it is higher."""
         if self._crash_count(rumour.fingerprint) >= rumour.crashes:
-            return News.NONE
+            return Dissemination.NONE
         self._set_crash_count(
             rumour.fingerprint, rumour.crashes, rumour.remaining
         )
-        return News.ORDINARY
+        return Dissemination.ORDINARY
 
     async def _has_crashed(self, upstream: Upstream) -> bool:
         """Return whether the upstream crashed, not just its connection."""
--- a/flamingovalve/gateway/watchers.py
+++ b/flamingovalve/gateway/watchers.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Final
 
 from flamingovalve.generated.messages import WatchRumour
-from flamingovalve.membership.gossip import News
+from flamingovalve.membership.gossip import Dissemination
 from flamingovalve.membership.members import SETTLE_SECONDS, largest
 from flamingovalve.util import clock, hashing
 
@@ -69,13 +69,13 @@
         self._received_by_vm[rumour.vm] = _Received(rumour, clock.now())
         return rumour
 
-    def hear(self, rumour: WatchRumour) -> News:
+    def hear(self, rumour: WatchRumour) -> Dissemination:
         """Record a newer rumour on whether another VM reaches the store."""
         known = self._received_by_vm.get(rumour.vm)
         if known is not None and _recency(known.rumour) >= _recency(rumour):
-            return News.NONE
+            return Dissemination.NONE
         self._received_by_vm[rumour.vm] = _Received(rumour, clock.now())
-        return News.URGENT
+        return Dissemination.URGENT
 
     def should_watch(self) -> bool:
         """Return whether this VM should watch the store now."""
--- a/flamingovalve/gossip_handlers.py
+++ b/flamingovalve/gossip_handlers.py
@@ -8,7 +8,7 @@
 import curio
 
 from flamingovalve.generated import messages
-from flamingovalve.membership.gossip import News
+from flamingovalve.membership.gossip import Dissemination
 
 if TYPE_CHECKING:
     from flamingovalve.daemon import Daemon
@@ -25,12 +25,14 @@
         self._daemon = daemon
 
     @singledispatchmethod
-    async def hear(self, rumour: Any) -> News:
+    async def hear(self, rumour: Any) -> Dissemination:
         """Take a rumour; give how it travels on."""
         raise TypeError(f'{type(rumour).__name__} is not a rumour')
 
     @hear.register(messages.VersionRumour)
-    async def _hear_version(self, rumour: messages.VersionRumour) -> News:
+    async def _hear_version(
+        self, rumour: messages.VersionRumour
+    ) -> Dissemination:
         # Not passed on as it is: once we hold that version ourselves, we
         # say so, and those we tell fetch it from us.
         if (
@@ -40,22 +42,26 @@
             await self._daemon.background.spawn(
                 self._daemon.keeper.hear, rumour
             )
-        return News.NONE
+        return Dissemination.NONE
 
     @hear.register(messages.PoisonRumour)
-    async def _hear_poison(self, rumour: messages.PoisonRumour) -> News:
+    async def _hear_poison(
+        self, rumour: messages.PoisonRumour
+    ) -> Dissemination:
         heard = self._daemon.quarantine.hear(rumour)
-        return News.URGENT if heard else News.NONE
+        return Dissemination.URGENT if heard else Dissemination.NONE
 
     @hear.register(messages.StoreRumour)
-    async def _hear_store(self, rumour: messages.StoreRumour) -> News:
+    async def _hear_store(self, rumour: messages.StoreRumour) -> Dissemination:
         heard = self._daemon.store.hear(rumour)
-        return News.ORDINARY if heard else News.NONE
+        return Dissemination.ORDINARY if heard else Dissemination.NONE
 
     @hear.register(messages.SpreadRumour)
-    async def _hear_spread(self, rumour: messages.SpreadRumour) -> News:
+    async def _hear_spread(
+        self, rumour: messages.SpreadRumour
+    ) -> Dissemination:
         heard = self._daemon.placement.hear(rumour)
-        return News.URGENT if heard else News.NONE
+        return Dissemination.URGENT if heard else Dissemination.NONE
 
     def standing_rumours(self) -> list[Any]:
         """Give what every probe carries."""
--- a/flamingovalve/membership/gossip.py
+++ b/flamingovalve/membership/gossip.py
@@ -60,7 +60,7 @@
 _LATE_WAKEUP_PERIODS = 2
 
 
-class News(Enum):
+class Dissemination(Enum):
     """How a received rumour is passed on to other VMs.
 
     :cvar NONE: not at all
@@ -92,7 +92,7 @@
 class Gossip:
     """Probes other VMs and disseminates rumours among them.
 
-    :ivar late_listeners: called after this process was paused
+    :ivar late_wakeup_listeners: called after this process was paused
     :ivar rumour_listener: applies rumours that are not about members
     :ivar standing_rumours: returns the rumours that every probe repeats
     """
@@ -108,8 +108,10 @@
         self.members = members
         self.counts = GossipCounts()
         self.rumours = RumourQueue()
-        self.late_listeners: list[Callable[[], None]] = []
-        self.rumour_listener: Callable[[Any], Awaitable[News]] = _ignore_rumour
+        self.late_wakeup_listeners: list[Callable[[], None]] = []
+        self.rumour_listener: Callable[[Any], Awaitable[Dissemination]] = (
+            _ignore_rumour
+        )
         self.standing_rumours: Callable[[], list[Any]] = list
         self._network = network
         self._settings = settings
@@ -216,7 +218,7 @@
         for member in self.members.others():
             if member.state is MemberState.SUSPECT:
                 member.changed_at = clock.now()
-        for listener in self.late_listeners:
+        for listener in self.late_wakeup_listeners:
             listener()
 
     def _next_target(self) -> Member | None:
@@ -288,10 +290,10 @@
             return
         incarnation = member.incarnation
         if await self._has_ended(member):
-            member.note_end(incarnation)
+            member.record_end(incarnation)
 
     async def _declare_ended(self, target: Member) -> None:
-        target.note_end(target.incarnation)
+        target.record_end(target.incarnation)
         if target.state is not MemberState.DEAD:
             self.members.change(target, MemberState.DEAD)
             await self.push(self.members.rumour_of(target))
@@ -377,9 +379,9 @@
             await self._apply_member_rumour(rumour)
             return
         dissemination = await self.rumour_listener(rumour)
-        if dissemination is News.URGENT:
+        if dissemination is Dissemination.URGENT:
             await self.push(rumour)
-        elif dissemination is News.ORDINARY:
+        elif dissemination is Dissemination.ORDINARY:
             self.rumours.add(rumour)
 
     async def _apply_member_rumour(self, rumour: MemberRumour) -> None:
@@ -539,5 +541,5 @@
     return False
 
 
-async def _ignore_rumour(_rumour: Any) -> News:
-    return News.NONE
+async def _ignore_rumour(_rumour: Any) -> Dissemination:
+    return Dissemination.NONE
--- a/flamingovalve/membership/members.py
+++ b/flamingovalve/membership/members.py
@@ -69,7 +69,7 @@
     ended: list[Incarnation] = field(default_factory=list)
     cores: float = 0
 
-    def note_end(self, incarnation: Incarnation) -> None:
+    def record_end(self, incarnation: Incarnation) -> None:
         """Record that a process has provably ended."""
         if incarnation and incarnation not in self.ended:
             self.ended = [*self.ended[1 - _MAX_ENDED_PROCESSES :], incarnation]
@@ -384,7 +384,7 @@
         if member.incarnation:
             logger.info('VM {} runs a new process', member.vm.id)
         # Two processes cannot listen at one address, so the old one has ended.
-        member.note_end(member.incarnation)
+        member.record_end(member.incarnation)
         member.direct = True
         self._advance_epoch()
 
@@ -405,13 +405,13 @@
         if known is None or rumour.incarnation >= known.incarnation:
             self._rumours_by_id[rumour.vm] = rumour
 
-    def forget_present(self) -> None:
+    def invalidate_present(self) -> None:
         """Make the next call of :meth:`present` compute it again."""
         self._present = None
 
     def _advance_epoch(self) -> None:
         self.epoch += 1
-        self.forget_present()
+        self.invalidate_present()
 
 
 def largest(members: list[Member]) -> list[Member]:
--- a/flamingovalve/peer/client.py
+++ b/flamingovalve/peer/client.py
@@ -97,7 +97,7 @@
             raise PeerUnreachable(message, ended=True)
         return connection
 
-    def give(self, connection: PeerConnection, address: str) -> None:
+    def release(self, connection: PeerConnection, address: str) -> None:
         """Return a connection to the pool after a complete exchange."""
         connection.idle_since = clock.now()
         self._idle_by_address.setdefault(address, []).append(connection)
@@ -117,7 +117,7 @@
             VM may have processed the message nevertheless
         """
         self.counts.exchanges += 1
-        connection = await self.fresh_enough(address, vm)
+        connection = await self.acquire_live(address, vm)
         try:
             async with curio.timeout_after(seconds):
                 await connection.send(message)
@@ -128,10 +128,10 @@
         except BaseException:
             await connection.close()
             raise
-        self.give(connection, address)
+        self.release(connection, address)
         return connection.remote.incarnation, reply
 
-    async def fresh_enough(self, address: str, vm: VmId) -> PeerConnection:
+    async def acquire_live(self, address: str, vm: VmId) -> PeerConnection:
         """Return a connection that the other VM has not closed.
 
         When the process of a VM ends, the sockets of its pooled connections
--- a/flamingovalve/peer/server.py
+++ b/flamingovalve/peer/server.py
@@ -108,7 +108,7 @@
         self.ended = True
 
 
-class PeerWatch:
+class PeerHeartbeats:
     """Sends heartbeats while a request is processed.
 
     Without heartbeats the forwarding VM could not distinguish a request that
@@ -280,7 +280,7 @@
     ) -> None:
         sink = PeerSink(connection)
         try:
-            async with PeerWatch(connection):
+            async with PeerHeartbeats(connection):
                 await self._response_writers_by_kind[type(message)](
                     message, sink
                 )
--- a/flamingovalve/routing/forward.py
+++ b/flamingovalve/routing/forward.py
@@ -88,12 +88,12 @@
             await connection.close()
             raise VmLost(str(lost)) from lost
         except ServingError:
-            self._peers.give(connection, address)
+            self._peers.release(connection, address)
             raise
         except BaseException:
             await connection.close()
             raise
-        self._peers.give(connection, address)
+        self._peers.release(connection, address)
 
     async def call(self, vm: VmId, request: ServiceRequest) -> Response:
         """Have another VM run a call of a plain service.
@@ -119,12 +119,12 @@
             await connection.close()
             raise ForwardFailed(str(lost), ended=False) from lost
         except ServingError:
-            self._peers.give(connection, address)
+            self._peers.release(connection, address)
             raise
         except BaseException:
             await connection.close()
             raise
-        self._peers.give(connection, address)
+        self._peers.release(connection, address)
         return response
 
     async def _connect(self, vm: VmId) -> tuple[PeerConnection, str]:
@@ -132,7 +132,7 @@
         if member is None:
             raise PeerUnreachable(f'{vm} is not a known member', ended=False)
         address = member.vm.peer_address
-        return await self._peers.fresh_enough(address, vm), address
+        return await self._peers.acquire_live(address, vm), address
 
     async def _relay(
         self,
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -191,7 +191,7 @@
         self.assertTrue(table.acknowledge(ask, 9).acknowledged)
         outcome = ClaimTell('key', 'vm-2', 2, ClaimState.SEALED)
         with curio.Kernel() as kernel:
-            reply = kernel.run(table.tell, outcome)
+            reply = kernel.run(table.record_outcome, outcome)
         self.assertIs(reply.state, ClaimState.CLAIMED)
         self.assertIs(table.find('key').state, ClaimState.CLAIMED)
 
--- a/tests/test_group_claims.py
+++ b/tests/test_group_claims.py
@@ -12,7 +12,7 @@
 )
 from flamingovalve.generated.messages import MemberRumour, MemberState
 from flamingovalve.generated.settings import PublishedVm
-from flamingovalve.membership.gossip import News
+from flamingovalve.membership.gossip import Dissemination
 from flamingovalve.membership.members import MemberTable
 from tests.rig.timeline import TimedTestCase
 
@@ -72,8 +72,8 @@
     def test_claim_is_applied_once(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
-        self.assertIs(other.hear(claim), News.URGENT)
-        self.assertIs(other.hear(claim), News.NONE)
+        self.assertIs(other.hear(claim), Dissemination.URGENT)
+        self.assertIs(other.hear(claim), Dissemination.NONE)
         self.assertEqual(other.owner(GROUP), self.claimer.members.own_id)
 
     def test_next_claim_exceeds_every_known_epoch(self):
@@ -138,8 +138,8 @@
         self.assertTrue(partitioned.should_claim(GROUP))
         provisional = partitioned.claim(GROUP, 50)
         self.assertTrue(provisional.provisional)
-        self.assertIs(self.claimer.hear(provisional), News.NONE)
-        self.assertIs(partitioned.hear(claim), News.URGENT)
+        self.assertIs(self.claimer.hear(provisional), Dissemination.NONE)
+        self.assertIs(partitioned.hear(claim), Dissemination.URGENT)
 
     def test_claim_of_an_unknown_vm_holds_for_a_lease(self):
         """A VM that has just restarted knows only a quarter of the others.
@@ -150,7 +150,7 @@
         claim = self.claimer.claim(GROUP, 7)
         fresh = GroupClaims(table_of(VMS[0]), self.moment)
         del fresh.members.by_id[claim.vm]
-        fresh.members.forget_present()
+        fresh.members.invalidate_present()
         fresh.hear(claim)
         self.advance(3)
         self.assertEqual(fresh.owner(GROUP), claim.vm)
@@ -161,7 +161,7 @@
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
         other.hear(claim)
-        other.members.by_id[claim.vm].note_end(claim.incarnation)
+        other.members.by_id[claim.vm].record_end(claim.incarnation)
         self.assertIsNone(other.owner(GROUP))
 
     def test_provisional_claim_is_confirmed(self):
--- a/tests/test_owned_groups.py
+++ b/tests/test_owned_groups.py
@@ -97,7 +97,7 @@
             await self.reconcile()
             self.assertIsNone(self.owned.find(GROUP))
             self.advance(0.5)
-            self.claims.members.by_id[other].note_end(1)
+            self.claims.members.by_id[other].record_end(1)
             await self.reconcile()
             self.assertGreater(self.seconds_until_orders(), LEASE - 0.5)
             await self.owned.close()
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -25,7 +25,7 @@
     MemberState,
 )
 from flamingovalve.generated.settings import PublishedVm
-from flamingovalve.membership.gossip import News
+from flamingovalve.membership.gossip import Dissemination
 from flamingovalve.membership.members import SETTLE_SECONDS, MemberTable
 from flamingovalve.util import clock
 from tests.rig.timeline import TimedTestCase
@@ -133,8 +133,8 @@
         sender, receiver = fleet[1], fleet[0]
         lost = sender.own_store_rumour(lost=True)
         back = sender.own_store_rumour(lost=False)
-        self.assertIs(receiver.hear(back), News.URGENT)
-        self.assertIs(receiver.hear(lost), News.NONE)
+        self.assertIs(receiver.hear(back), Dissemination.URGENT)
+        self.assertIs(receiver.hear(lost), Dissemination.NONE)
 
 
 def entry(name: str, state: UpstreamState = UpstreamState.READY) -> Upstream:
