--- a/benchmarks/owner_cost.py
+++ b/benchmarks/owner_cost.py
@@ -17,7 +17,7 @@
 from flamingovalve.cmd.tables import table
 from flamingovalve.gateway.catalogue import Catalogue
 from flamingovalve.gateway.fencing import Fences
-from flamingovalve.gateway.ledger import HeldAdapter, Holding
+from flamingovalve.gateway.ledger import AdapterState, HeldAdapter
 from flamingovalve.gateway.model import (
     EngineTraits,
     ModelTraits,
@@ -141,7 +141,7 @@
         for _slot in range(slots):
             name = AdapterId(f'a{len(names)}')
             names.append(name)
-            ledger.held[name] = HeldAdapter(name, 1, Holding.RESIDENT)
+            ledger.held[name] = HeldAdapter(name, 1, AdapterState.RESIDENT)
     return owner, names
 
 
--- a/flamingovalve/gateway/admission.py
+++ b/flamingovalve/gateway/admission.py
@@ -33,18 +33,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class QueuePosition:
     """Position of a waiting request among the late or the timely requests.
 
     :ivar ahead: number of requests of the same kind that are served first
     :ivar is_late: whether the answer can no longer be in time; late requests
         are served after all timely ones
-    :ivar is_waited_in: whether this or another request already waits there
+    :ivar has_waiters: whether this or another request already waits there
     """
 
     ahead: int
     is_late: bool = False
-    is_waited_in: bool = True
+    has_waiters: bool = True
 
 
 class Admission:
@@ -97,7 +97,7 @@
     def find_refusal(
         self,
         ask: PlaceAsk,
-        waiting: Line,
+        waiting: QueuePosition,
         engines: list[EngineLedger],
     ) -> ServingError | None:
         """Return a refusal if the request cannot be served in time.
@@ -136,7 +136,7 @@
     def expected_wait(
         self,
         ask: PlaceAsk,
-        waiting: Line,
+        waiting: QueuePosition,
         engines: list[EngineLedger],
     ) -> float:
         """Return the expected seconds until a first event, wait included."""
@@ -146,7 +146,7 @@
     def _place_wait(
         self,
         ask: PlaceAsk,
-        waiting: Line,
+        waiting: QueuePosition,
         engines: list[EngineLedger],
     ) -> float:
         slots = _slots(engines)
@@ -160,7 +160,7 @@
             place_interval.restart()
         interval = place_interval.expected_seconds(
             self.holds.mean / slots,
-            has_waiting_requests=waiting.is_waited_in,
+            has_waiting_requests=waiting.has_waiters,
         )
         return load_wait + (waiting.ahead + 1) * interval
 
@@ -171,7 +171,7 @@
 
 def _refusal(ask: PlaceAsk, reason: str, retry_after: float) -> ServingError:
     pause = max(retry_after, _MIN_RETRY_SECONDS)
-    pause = return_times.spread(pause, ask.request_id)
+    pause = return_times.add_jitter(pause, ask.request_id)
     return ServingError(
         ErrorKind.OVERLOADED,
         f'{reason}; retry in {pause:.1f} s',
--- a/flamingovalve/gateway/attempts.py
+++ b/flamingovalve/gateway/attempts.py
@@ -21,7 +21,7 @@
 logger = get_logger(__name__)
 
 # Refusals cost an upstream nothing, but each retry uses the retry budget.
-MOST_SENDS: Final = 5
+MAX_SENDS: Final = 5
 
 # Mostly long enough for another upstream of the service to register.
 _NO_UPSTREAM_SECONDS: Final = 0.5
@@ -39,7 +39,7 @@
         self._budget = budget
         self._quarantine = quarantine
 
-    def may_repeat(self, request: InboundRequest, last: Sent) -> bool:
+    def may_retry(self, request: InboundRequest, last: Sent) -> bool:
         """Return whether a request may be sent again after ``last``."""
         if not may_send_again(request, last.outcome):
             return False
@@ -83,7 +83,7 @@
         )
 
 
-def settle(request: InboundRequest, outcome: Outcome) -> ServingError:
+def final_error(request: InboundRequest, outcome: Outcome) -> ServingError:
     """Return the final error.
 
     If an earlier attempt may have run the request, the error says so.
--- a/flamingovalve/gateway/calls.py
+++ b/flamingovalve/gateway/calls.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from flamingovalve.gateway.attempts import MOST_SENDS, no_upstream, settle
+from flamingovalve.gateway.attempts import MAX_SENDS, final_error, no_upstream
 from flamingovalve.gateway.relay import Outcome, Sending
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
         if sent is None:
             raise no_upstream(request.service)
         if sent.response is None:
-            raise settle(request, sent.outcome)
+            raise final_error(request, sent.outcome)
         await responder.send(sent.response)
 
     async def _send_until_answered(
@@ -54,12 +54,12 @@
         request: InboundRequest,
     ) -> Sent | None:
         sent: Sent | None = None
-        for _attempt in range(MOST_SENDS):
+        for _attempt in range(MAX_SENDS):
             upstream = self._choose_upstream(request)
             if upstream is None:
                 break
             sent = await self._send_once(request, upstream)
-            if not self._attempts.may_repeat(request, sent):
+            if not self._attempts.may_retry(request, sent):
                 break
         return sent
 
--- a/flamingovalve/gateway/completions.py
+++ b/flamingovalve/gateway/completions.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Final
 
 from flamingovalve.errors import ConnectionLost
-from flamingovalve.gateway.attempts import MOST_SENDS, no_upstream, settle
+from flamingovalve.gateway.attempts import MAX_SENDS, final_error, no_upstream
 from flamingovalve.gateway.model import Repeat
 from flamingovalve.gateway.relay import EventSink, Outcome, Sending
 from flamingovalve.generated.messages import PlaceAsk, PlaceOutcome
@@ -70,7 +70,7 @@
         elif sink.started:
             raise ConnectionLost('the stream broke before its last event')
         elif sent.response is None:
-            raise settle(request, sent.outcome)
+            raise final_error(request, sent.outcome)
         else:
             await responder.send(sent.response)
 
@@ -81,8 +81,8 @@
         sink: EventSink,
     ) -> Sent:
         sent = await self._send_once(request, place_ask, sink)
-        for _attempt in range(1, MOST_SENDS):
-            if not self._attempts.may_repeat(request, sent):
+        for _attempt in range(1, MAX_SENDS):
+            if not self._attempts.may_retry(request, sent):
                 break
             sent = await self._send_once(request, place_ask, sink)
         return sent
--- a/flamingovalve/gateway/dispatch.py
+++ b/flamingovalve/gateway/dispatch.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
-from flamingovalve.gateway.ledger import HeldAdapter, Holding
+from flamingovalve.gateway.ledger import AdapterState, HeldAdapter
 from flamingovalve.generated.ids import ModelId
 from flamingovalve.util import clock
 
@@ -70,7 +70,7 @@
         """Return whether the engine can run the request without a load."""
         if self.load:
             return False
-        return self.held is None or self.held.state is Holding.RESIDENT
+        return self.held is None or self.held.state is AdapterState.RESIDENT
 
 
 def choose(
@@ -109,7 +109,7 @@
     held = engine.held.get(ask.adapter)
     if held is None:
         return _with_load(ask, engine, popularity)
-    if held.state is Holding.GOING:
+    if held.state is AdapterState.UNLOADING:
         # An unload is in progress. Its completion would also remove a load
         # ordered now from the ledger, and the engine crashes when it is
         # ordered to hold more adapters than it has slots.
@@ -161,7 +161,7 @@
     )
 
 
-def is_good(ask: PlaceAsk, choice: Choice) -> bool:
+def is_acceptable(ask: PlaceAsk, choice: Choice) -> bool:
     """Return whether a choice should be in time with some margin.
 
     An adapter may be requested more often than one group of engines can
@@ -241,12 +241,12 @@
     )
 
 
-def openings(
+def any_can_load_adapter(
     engines: Iterable[EngineLedger],
     popularity: Popularity,
 ) -> bool:
     """Return whether some engine could load another adapter now."""
-    return any(engine.has_opening(popularity) for engine in engines)
+    return any(engine.can_load_adapter(popularity) for engine in engines)
 
 
 def _holders(name: ModelId, engines: list[EngineLedger]) -> int:
--- a/flamingovalve/gateway/engine.py
+++ b/flamingovalve/gateway/engine.py
@@ -8,7 +8,7 @@
 import curio
 
 from flamingovalve.gateway.fencing import NO_FENCE
-from flamingovalve.gateway.ledger import HeldAdapter, Holding
+from flamingovalve.gateway.ledger import AdapterState, HeldAdapter
 from flamingovalve.gateway.orders import Action, Order, OrderOutcome
 from flamingovalve.generated.ids import AdapterId, ModelId
 from flamingovalve.util import clock
@@ -164,16 +164,16 @@
         fetches = held.load is not None and not held.load.is_kept
         loads.under_way += fetches
         try:
-            await self.arrive(held)
+            await self.await_load(held)
         finally:
             loads.under_way -= fetches
 
-    async def arrive(self, held: HeldAdapter) -> None:
+    async def await_load(self, held: HeldAdapter) -> None:
         """Wait until an adapter should be loaded, then resume its requests."""
         await curio.sleep(max(0, held.ready_at - clock.now()))
         held.replaces = None
-        if held.state is Holding.COMING:
-            held.state = Holding.RESIDENT
+        if held.state is AdapterState.LOADING:
+            held.state = AdapterState.RESIDENT
         for waiter in self.waiting.pop(held.name, []):
             await waiter.settled.set()
         await self._context.listener.serve_waiting()
@@ -211,7 +211,7 @@
         popularity = self._context.popularity
         victim = self.ledger.least_valuable(popularity)
         if victim is not None:
-            victim.state = Holding.GOING
+            victim.state = AdapterState.UNLOADING
         return victim
 
     async def _unload(self, victim: HeldAdapter) -> bool:
@@ -226,7 +226,7 @@
             # that request ends; a report shows when.
             self.ledger.chain.note_accepted()
             return False
-        victim.state = Holding.RESIDENT
+        victim.state = AdapterState.RESIDENT
         self._record_refusal(outcome)
         return False
 
--- a/flamingovalve/gateway/front.py
+++ b/flamingovalve/gateway/front.py
@@ -117,7 +117,7 @@
         return ServingError(
             ErrorKind.NOT_READY,
             'this VM has no configuration yet; try another one',
-            retry_after=return_times.spread(
+            retry_after=return_times.add_jitter(
                 self._until_configured(),
                 self._platform.request_id(request),
             ),
--- a/flamingovalve/gateway/group.py
+++ b/flamingovalve/gateway/group.py
@@ -145,7 +145,7 @@
 
     def has_openings(self) -> bool:
         """Return whether an adapter can be loaded now for a queued request."""
-        return dispatch.openings(self.usable(), self.popularity)
+        return dispatch.any_can_load_adapter(self.usable(), self.popularity)
 
     def version(self, ask: PlaceAsk) -> int:
         """Return the required adapter version of ``ask``; 0 for any."""
--- a/flamingovalve/gateway/ledger.py
+++ b/flamingovalve/gateway/ledger.py
@@ -44,12 +44,12 @@
 _INITIAL_PACE: Final = 1.25
 
 
-class Holding(Enum):
+class AdapterState(Enum):
     """State of an adapter on an engine: loading, loaded or unloading."""
 
-    COMING = 'coming'
+    LOADING = 'coming'
     RESIDENT = 'resident'
-    GOING = 'going'
+    UNLOADING = 'going'
 
 
 @dataclass(slots=True)
@@ -63,20 +63,20 @@
         until then no report can show the adapter
     :ivar load: the estimate for its load, until a request shows whether the
         adapter was loaded by then
-    :ivar is_seen: whether a report or a request has confirmed it on the
+    :ivar is_confirmed: whether a report or a request has confirmed it on the
         engine
     """
 
     name: AdapterId
     version: int
-    state: Holding
+    state: AdapterState
     uses: int = 0
     ready_at: float = 0
     used_at: float = 0
     replaces: HeldAdapter | None = None
     is_ordered: bool = True
     load: ExpectedLoad | None = None
-    is_seen: bool = True
+    is_confirmed: bool = True
 
     def is_idle(self) -> bool:
         """Return whether the adapter can be evicted.
@@ -84,7 +84,7 @@
         An adapter that should be loaded by now may still be loading, and the
         engine cannot unload it until then.
         """
-        if self.state is not Holding.RESIDENT or not self.is_seen:
+        if self.state is not AdapterState.RESIDENT or not self.is_confirmed:
             return False
         return not self.uses
 
@@ -181,7 +181,7 @@
     def coming(self) -> int:
         """Return the number of adapters being loaded."""
         return sum(
-            entry.state is Holding.COMING for entry in self.held.values()
+            entry.state is AdapterState.LOADING for entry in self.held.values()
         )
 
     def prefill_seconds(self, ask: PlaceAsk) -> float:
@@ -246,7 +246,7 @@
     def _is_evictable(self, held: HeldAdapter) -> bool:
         return held.is_idle() and self.held.get(held.name) is held
 
-    def has_opening(self, popularity: Popularity) -> bool:
+    def can_load_adapter(self, popularity: Popularity) -> bool:
         """Return whether another adapter could be loaded now."""
         if self.is_full() or not self.may_load():
             return False
@@ -264,15 +264,15 @@
         held.load = self.loads.expected(is_kept=held.name in self.kept)
         held.ready_at = held.load.ready_at
 
-    def note_adapter_missing(self, name: AdapterId) -> HeldAdapter | None:
+    def record_adapter_missing(self, name: AdapterId) -> HeldAdapter | None:
         """Record that the engine refused a request without its adapter.
 
         :returns: the adapter, if its load should still complete
         """
         held = self.held.get(name)
-        if held is None or held.state is not Holding.RESIDENT:
+        if held is None or held.state is not AdapterState.RESIDENT:
             return None
-        held.state = Holding.COMING
+        held.state = AdapterState.LOADING
         held.ready_at = clock.now() + _LATE_LOAD_RETRY_SECONDS
         load = held.load
         held.load = None
@@ -283,12 +283,12 @@
                 held.ready_at = max(held.ready_at, load.fetched_at)
         return held
 
-    def note_adapter_present(self, name: AdapterId) -> None:
+    def record_adapter_present(self, name: AdapterId) -> None:
         """Record that a request found its adapter loaded."""
         held = self.held.get(name)
         if held is None:
             return
-        held.is_seen = True
+        held.is_confirmed = True
         if held.load is None:
             return
         self.loads.record_hit(held.load)
@@ -304,7 +304,7 @@
         """Record that an adapter is unloaded and drop its cached prompts."""
         gone = self.held.pop(name, None)
         if gone is not None:
-            gone.state = Holding.GOING
+            gone.state = AdapterState.UNLOADING
         self.kept.record_unload(name)
         self.parts.forget(name)
 
@@ -323,7 +323,7 @@
             self._adopt_resident(name, version)
         for name in report.coming:
             if name not in self.held:
-                held = HeldAdapter(name, 0, Holding.COMING)
+                held = HeldAdapter(name, 0, AdapterState.LOADING)
                 held.ready_at = clock.now() + self.loads.seconds
                 self.held[name] = held
         self._forget_missing({*report.resident, *report.coming})
@@ -332,15 +332,15 @@
     def _adopt_resident(self, name: AdapterId, version: int) -> None:
         known = self.held.get(name)
         if known is None:
-            self.held[name] = HeldAdapter(name, version, Holding.RESIDENT)
+            self.held[name] = HeldAdapter(name, version, AdapterState.RESIDENT)
             return
         if version < known.version:
             # The report is older than the load of this version.
             return
         known.version = version
-        known.is_seen = True
-        if known.state is Holding.COMING:
-            known.state = Holding.RESIDENT
+        known.is_confirmed = True
+        if known.state is AdapterState.LOADING:
+            known.state = AdapterState.RESIDENT
 
     def _forget_missing(self, shown: set[AdapterId]) -> None:
         # A report may be older than the latest orders.
@@ -391,7 +391,7 @@
         pause = min(pause, _MAX_PAUSE_SECONDS)
         self.avoided_until = clock.now() + pause
 
-    def note_verdict(self, *, failed: bool) -> None:
+    def record_outcome(self, *, failed: bool) -> None:
         """Record whether a request failed.
 
         An engine that fails some requests still serves the others. If each
@@ -402,7 +402,7 @@
         if not failed:
             self.failures = 0
 
-    def note_first_event(self, place: Place, seconds: float) -> None:
+    def record_first_event(self, place: Place, seconds: float) -> None:
         """Update the pace from one measured time to a first event.
 
         The expected time was estimated with the pace of that time, so the
--- a/flamingovalve/gateway/owner.py
+++ b/flamingovalve/gateway/owner.py
@@ -9,9 +9,9 @@
 
 from flamingovalve.errors import ErrorKind, ServingError
 from flamingovalve.gateway import dispatch
-from flamingovalve.gateway.admission import Line
+from flamingovalve.gateway.admission import QueuePosition
 from flamingovalve.gateway.group import EngineGroup
-from flamingovalve.gateway.ledger import HeldAdapter, Holding
+from flamingovalve.gateway.ledger import AdapterState, HeldAdapter
 from flamingovalve.gateway.orders import OrderOutcome
 from flamingovalve.gateway.place_queue import PlaceQueue
 from flamingovalve.gateway.waiting import Waiter
@@ -145,7 +145,7 @@
         try:
             await self._queue.grant_same_adapter(ask.adapter)
             await self._queue.serve_waiting()
-            await self._queue.refuse_if_hopeless(waiter)
+            await self._queue.refuse_if_too_late(waiter)
             await waiter.settled.wait()
         except curio.CancelledError:
             self._abandon(waiter)
@@ -168,7 +168,7 @@
         self.counts.declined += 1
         if choice is None:
             waiting = len(self._queue)
-            queue = Line(waiting, is_waited_in=waiting > 0)
+            queue = QueuePosition(waiting, has_waiters=waiting > 0)
             engines = self.engines.candidates(ask)
             wait = self._queue.admission.expected_wait(ask, queue, engines)
             wait = min(wait, _MAX_WAIT_SECONDS)
@@ -197,7 +197,7 @@
         ledger = engine.ledger
         name = hold.ask.adapter
         if name and name not in ledger.held:
-            ledger.held[name] = HeldAdapter(name, 0, Holding.RESIDENT)
+            ledger.held[name] = HeldAdapter(name, 0, AdapterState.RESIDENT)
         return ledger.take(hold.ask)
 
     async def end(
@@ -214,13 +214,13 @@
             await self._mark_adapter_missing(place)
         elif outcome is not PlaceOutcome.ABANDONED:
             failed = outcome is not PlaceOutcome.FINISHED
-            engine.note_verdict(failed=failed)
+            engine.record_outcome(failed=failed)
         if outcome is PlaceOutcome.FINISHED:
             self._queue.admission.holds.note(clock.now() - place.taken_at)
         if first_event:
             self._queue.admission.first_events.note(first_event)
-            engine.note_adapter_present(place.ask.adapter)
-            engine.note_first_event(place, first_event)
+            engine.record_adapter_present(place.ask.adapter)
+            engine.record_first_event(place, first_event)
         if outcome is PlaceOutcome.LOST:
             await self._request_report(place)
         if was_full:
@@ -240,9 +240,9 @@
     async def _mark_adapter_missing(self, place: Place) -> None:
         """Send no requests for an adapter to an engine that lacks it."""
         engine = self.engines.engines_by_id.get(place.engine.upstream.id)
-        held = place.engine.note_adapter_missing(place.ask.adapter)
+        held = place.engine.record_adapter_missing(place.ask.adapter)
         if engine is not None and held is not None:
-            await self._tasks.spawn(engine.arrive, held)
+            await self._tasks.spawn(engine.await_load, held)
 
     async def load_failed(
         self,
@@ -256,7 +256,7 @@
         """
         await self.requeue(waiters)
         if outcome is OrderOutcome.REFUSED:
-            connected = [one for one in waiters if not one.is_gone]
+            connected = [one for one in waiters if not one.is_disconnected]
             for waiter in connected:
                 await self._queue.refuse(
                     waiter, _load_refused_error(waiter.ask.adapter)
@@ -268,7 +268,7 @@
             if waiter.place is not None:
                 waiter.place.engine.give_back(waiter.place)
             waiter.place = None
-            if not waiter.is_gone:
+            if not waiter.is_disconnected:
                 self._queue.enqueue(waiter)
 
     async def serve_waiting(self) -> None:
@@ -281,7 +281,7 @@
             waiter.place.engine.give_back(waiter.place)
         # A load that fails later must not requeue this request: its place
         # would never be released, and its adapter never unloaded.
-        waiter.is_gone = True
+        waiter.is_disconnected = True
 
     async def _grant(self, waiter: Waiter, choice: dispatch.Choice) -> None:
         """Grant a place; settle the waiter once the adapter is resident."""
@@ -292,7 +292,7 @@
         held = ledger.held.get(waiter.ask.adapter)
         waiter.place = ledger.take(waiter.ask)
         self._log_place(waiter.ask, choice, clock.now() - waiter.asked_at)
-        if held is None or held.state is Holding.RESIDENT:
+        if held is None or held.state is AdapterState.RESIDENT:
             await waiter.settled.set()
             return
         owned.waiting.setdefault(held.name, []).append(waiter)
@@ -324,22 +324,22 @@
         victim: HeldAdapter | None,
     ) -> None:
         if victim is not None:
-            victim.state = Holding.GOING
+            victim.state = AdapterState.UNLOADING
         held = HeldAdapter(
             ask.adapter,
             self.engines.version(ask),
-            Holding.COMING,
+            AdapterState.LOADING,
             ready_at=clock.now() + owned.ledger.load_seconds(ask.adapter),
             replaces=owned.ledger.held.get(ask.adapter),
             is_ordered=False,
-            is_seen=False,
+            is_confirmed=False,
         )
         owned.ledger.held[ask.adapter] = held
         await self._tasks.spawn(owned.load, held, victim)
 
 
 def _is_good(ask: PlaceAsk, choice: dispatch.Choice | None) -> bool:
-    return choice is not None and dispatch.is_good(ask, choice)
+    return choice is not None and dispatch.is_acceptable(ask, choice)
 
 
 def _not_owner_error() -> ServingError:
--- a/flamingovalve/gateway/place_queue.py
+++ b/flamingovalve/gateway/place_queue.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from flamingovalve.gateway.admission import Admission, Line
+from flamingovalve.gateway.admission import Admission, QueuePosition
 from flamingovalve.gateway.waiting import Waiter, WaitingRequests
 from flamingovalve.util import clock
 from flamingovalve.util.logs import get_logger, note
@@ -85,7 +85,7 @@
         more waiting requests than it can serve, plus a few failures.
         """
         for waiter in self._waiting.demote_overdue():
-            await self.refuse_if_hopeless(waiter)
+            await self.refuse_if_too_late(waiter)
         failures = 0
         while failures < _MAX_FAILED_ATTEMPTS and self._may_serve_more():
             waiters = self._waiting.first(failures + 1)
@@ -143,11 +143,11 @@
             if waiter in self._waiting:
                 await self._try_to_grant(waiter)
         for waiter in self._waiting.first(_MAX_SWEPT_REQUESTS):
-            await self.refuse_if_hopeless(waiter)
+            await self.refuse_if_too_late(waiter)
         for waiter in self._waiting.last(_MAX_SWEPT_REQUESTS):
-            await self.refuse_if_hopeless(waiter)
+            await self.refuse_if_too_late(waiter)
 
-    async def refuse_if_hopeless(self, waiter: Waiter) -> None:
+    async def refuse_if_too_late(self, waiter: Waiter) -> None:
         """Refuse a waiting request that is not expected to be in time."""
         if waiter not in self._waiting:
             return
@@ -160,11 +160,11 @@
         if refusal is not None:
             await self.refuse(waiter, refusal)
 
-    def _position_of(self, waiter: Waiter) -> Line:
+    def _position_of(self, waiter: Waiter) -> QueuePosition:
         ahead = self._waiting.ahead_of(waiter)
         if waiter.turn.is_late:
             ahead -= self._waiting.in_time_count()
-        return Line(ahead, waiter.turn.is_late)
+        return QueuePosition(ahead, waiter.turn.is_late)
 
     async def refuse(self, waiter: Waiter, refusal: ServingError) -> None:
         """Refuse a request that waits or whose load has failed."""
--- a/flamingovalve/gateway/quotas.py
+++ b/flamingovalve/gateway/quotas.py
@@ -235,7 +235,7 @@
         return ServingError(
             ErrorKind.QUOTA_UNAVAILABLE,
             'no keeper of the quota responds; use another address',
-            retry_after=return_times.spread(
+            retry_after=return_times.add_jitter(
                 _NO_KEEPER_RETRY_SECONDS, request.id
             ),
         )
@@ -249,7 +249,7 @@
     ) -> ServingError:
         self.counts.refused += 1
         retry_after_seconds = max(wait, _MIN_RETRY_SECONDS)
-        retry_after_seconds = return_times.spread(
+        retry_after_seconds = return_times.add_jitter(
             retry_after_seconds, request.id
         )
         note(
--- a/flamingovalve/gateway/retries.py
+++ b/flamingovalve/gateway/retries.py
@@ -41,7 +41,7 @@
         self._request_times_by_service: dict[ServiceId, deque[float]] = {}
         self._retry_times_by_service: dict[ServiceId, deque[float]] = {}
 
-    def note_request(self, service: ServiceId) -> None:
+    def record_request(self, service: ServiceId) -> None:
         """Count a request for a service."""
         self._recent(self._request_times_by_service, service).append(
             clock.now()
--- a/flamingovalve/gateway/return_times.py
+++ b/flamingovalve/gateway/return_times.py
@@ -14,7 +14,7 @@
 _MAX_JITTER_SHARE: Final = 0.3
 
 
-def spread(seconds: float, request_id: str) -> float:
+def add_jitter(seconds: float, request_id: str) -> float:
     """Return a wait in seconds, extended by a share derived from the request."""
     fraction = hashing.uniform('return', request_id)
     return seconds * (1 + _MAX_JITTER_SHARE * fraction)
--- a/flamingovalve/gateway/revocation.py
+++ b/flamingovalve/gateway/revocation.py
@@ -115,5 +115,5 @@
             ErrorKind.STALE_CONFIGURATION,
             'this VM cannot verify that the key is still valid; '
             'use another address',
-            retry_after=return_times.spread(_RETRY_SECONDS, request_id),
+            retry_after=return_times.add_jitter(_RETRY_SECONDS, request_id),
         )
--- a/flamingovalve/gateway/serving.py
+++ b/flamingovalve/gateway/serving.py
@@ -51,7 +51,7 @@
         self._quarantine.check(request)
         service = self._choose_service(request)
         request.service = service.name
-        self._budget.note_request(service.name)
+        self._budget.record_request(service.name)
         completion = request.completion
         if service.engine is not None and completion is not None:
             await self._completions.serve(request, completion, responder)
--- a/flamingovalve/gateway/waiting.py
+++ b/flamingovalve/gateway/waiting.py
@@ -50,7 +50,7 @@
     :ivar settled: set when the request has a place or a refusal
     :ivar place: the place, once an engine is chosen
     :ivar refusal: why the request gets no place
-    :ivar is_gone: whether the caller has disconnected
+    :ivar is_disconnected: whether the caller has disconnected
     :ivar place_deadline: latest time, on the local clock, to get a place and
         still answer in time
     """
@@ -61,7 +61,7 @@
     settled: curio.Event = field(default_factory=curio.Event)
     place: Place | None = None
     refusal: ServingError | None = None
-    is_gone: bool = False
+    is_disconnected: bool = False
     place_deadline: float = 0
     turn: Turn = Turn(is_late=False, due_at=0, serial=0)
 
--- a/tests/rig/engines.py
+++ b/tests/rig/engines.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from flamingovalve.gateway.ledger import EngineLedger, HeldAdapter, Holding
+from flamingovalve.gateway.ledger import AdapterState, EngineLedger, HeldAdapter
 from flamingovalve.gateway.model import (
     EngineTraits,
     ModelTraits,
@@ -58,7 +58,7 @@
 def hold(
     engine: EngineLedger,
     name: str,
-    state: Holding = Holding.RESIDENT,
+    state: AdapterState = AdapterState.RESIDENT,
     uses: int = 0,
 ) -> HeldAdapter:
     """Add an adapter to an engine."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from flamingovalve.gateway.admission import Admission, Line
+from flamingovalve.gateway.admission import Admission, QueuePosition
 from flamingovalve.gateway.waiting import Waiter
 from tests.rig.engines import ask, hold, ledger
 from tests.rig.timeline import TimedTestCase
@@ -22,7 +22,9 @@
 
     def find_refusal(self, request, ahead=0):
         """Return the refusal of one request, if any."""
-        return Admission().find_refusal(request, Line(ahead), [self.engine])
+        return Admission().find_refusal(
+            request, QueuePosition(ahead), [self.engine]
+        )
 
     def test_short_queue_is_accepted(self):
         self.assertIsNone(self.find_refusal(ask('new')))
@@ -37,7 +39,7 @@
         self.assertGreater(refusal.retry_after, 5)
 
     def test_group_without_engines_is_refused(self):
-        refusal = Admission().find_refusal(ask('new'), Line(0), [])
+        refusal = Admission().find_refusal(ask('new'), QueuePosition(0), [])
         self.assertGreater(refusal.retry_after, 0)
 
     def test_model_without_engine_has_finite_retry_time(self):
@@ -76,11 +78,11 @@
         self.engine.chain.stands_down_until = self.moment + 1
         for _check in range(9):
             self.advance(0.1)
-            position = Line(2, is_late=True)
+            position = QueuePosition(2, is_late=True)
             refusal = admission.find_refusal(
                 ask('new', patience=2), position, engines
             )
             self.assertIsNone(refusal)
         self.advance(0.15)
-        position = Line(2, is_late=True)
+        position = QueuePosition(2, is_late=True)
         self.assertIsNone(admission.find_refusal(ask('new'), position, engines))
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from flamingovalve.gateway import dispatch
-from flamingovalve.gateway.ledger import Holding
+from flamingovalve.gateway.ledger import AdapterState
 from flamingovalve.gateway.popularity import Popularity
 from flamingovalve.generated.ids import AdapterId, ModelId
 from tests.rig.engines import MODEL, ask, hold, ledger, report
@@ -48,7 +48,9 @@
         request = ask('a', prompt_tokens=9000)
         engine = ledger()
         request.target = engine.prefill_seconds(request)
-        self.assertTrue(dispatch.is_good(request, self.choose(request, engine)))
+        self.assertTrue(
+            dispatch.is_acceptable(request, self.choose(request, engine))
+        )
 
     def test_queue_of_other_requests_is_a_reason_to_decline(self):
         """Guards against queueing while another group is idle."""
@@ -56,7 +58,7 @@
         engine = ledger('engine-0', 'a')
         engine.prefill.add(0, 0.8 * request.target)
         choice = self.choose(request, engine)
-        self.assertFalse(dispatch.is_good(request, choice))
+        self.assertFalse(dispatch.is_acceptable(request, choice))
 
     def test_least_requested_idle_adapter_is_evicted(self):
         engine = ledger('engine-0', *(f'a{n}' for n in range(SLOTS)))
@@ -70,9 +72,9 @@
         """Guards against the eviction of an adapter that is still loading."""
         engine = ledger('engine-0', *(f'a{n}' for n in range(SLOTS)))
         for held in engine.held.values():
-            held.is_seen = False
+            held.is_confirmed = False
         self.assertIsNone(self.choose(ask('new'), engine))
-        engine.note_adapter_present(AdapterId('a3'))
+        engine.record_adapter_present(AdapterId('a3'))
         self.assertEqual(self.choose(ask('new'), engine).victim.name, 'a3')
 
     def test_adapter_in_use_is_not_evicted(self):
@@ -88,7 +90,7 @@
         more load followed, and the engine crashed with all its requests.
         """
         engine = ledger('engine-0', *(f'a{n}' for n in range(SLOTS - 1)))
-        hold(engine, 'going', Holding.GOING)
+        hold(engine, 'going', AdapterState.UNLOADING)
         self.assertIsNone(self.choose(ask('going'), engine))
 
     def test_old_version_is_replaced(self):
@@ -116,7 +118,7 @@
             self.assertIsNotNone(choice)
             failed = number % 5 < 2
             served += not failed
-            choice.engine.note_verdict(failed=failed)
+            choice.engine.record_outcome(failed=failed)
             self.advance(0.05)
         self.assertTrue(all(engine.is_usable() for engine in engines))
         self.assertEqual(served, 36)
@@ -124,7 +126,7 @@
     def test_engine_with_fewer_failures_is_preferred(self):
         failing, healthy = ledger('engine-0', 'a'), ledger('engine-1', 'a')
         for _request in range(5):
-            failing.note_verdict(failed=True)
+            failing.record_outcome(failed=True)
         choice = self.choose(ask('a'), failing, healthy)
         self.assertIs(choice.engine, healthy)
 
@@ -234,10 +236,10 @@
         named the old version and the engine refused them.
         """
         engine = ledger('engine-0')
-        loading = hold(engine, 'a', Holding.COMING)
+        loading = hold(engine, 'a', AdapterState.LOADING)
         loading.version = 2
         engine.adopt(report(0, 'a'))
-        self.assertIs(loading.state, Holding.COMING)
+        self.assertIs(loading.state, AdapterState.LOADING)
         self.assertEqual(loading.version, 2)
 
     def test_place_reported_twice_counts_once(self):
@@ -262,7 +264,7 @@
         both were loaded.
         """
         engine = ledger('engine-0')
-        waiting = hold(engine, 'a', Holding.COMING)
+        waiting = hold(engine, 'a', AdapterState.LOADING)
         waiting.is_ordered = False
         self.advance(5)
         engine.adopt(report(0))
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -57,7 +57,7 @@
         engine.record_load_accepted(held)
         self.assertLess(held.ready_at - self.moment, 0.1)
         self.advance(0.03)
-        engine.note_adapter_missing(AdapterId('a'))
+        engine.record_adapter_missing(AdapterId('a'))
         self.assertGreater(held.ready_at - self.moment, 0.2)
 
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -7,7 +7,7 @@
 from flamingovalve.gateway import dispatch
 from flamingovalve.gateway.catalogue import Catalogue
 from flamingovalve.gateway.fencing import Fences
-from flamingovalve.gateway.ledger import Holding
+from flamingovalve.gateway.ledger import AdapterState
 from flamingovalve.gateway.owner import GroupOwner
 from flamingovalve.gateway.places import PlaceServer
 from flamingovalve.generated.ids import GroupId, VmId
@@ -150,7 +150,7 @@
                 self.advance(0.01)
             await owner.end(places[0], PlaceOutcome.FINISHED, 0)
             engine = owner.engines.engines_by_id['engine-0'].ledger
-            self.assertIs(engine.held['cold-0'].state, Holding.COMING)
+            self.assertIs(engine.held['cold-0'].state, AdapterState.LOADING)
             self.assertNotIn('cold-1', engine.held)
 
         curio.run(scenario)
@@ -202,7 +202,7 @@
                 await owner.end(place, PlaceOutcome.FINISHED, 0)
                 order.extend(set(engine.held) - before)
                 for held in engine.held.values():
-                    held.state = Holding.RESIDENT
+                    held.state = AdapterState.RESIDENT
             self.assertTrue(order[0].startswith('urgent'))
             self.assertIn('patient', [*order, *engine.held])
 
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -15,7 +15,9 @@
 
     def test_retry_times_have_jitter(self):
         """Guards against refused callers that return as the same burst."""
-        waits = [return_times.spread(2, f'r{one}') for one in range(CALLERS)]
+        waits = [
+            return_times.add_jitter(2, f'r{one}') for one in range(CALLERS)
+        ]
         self.assertGreaterEqual(min(waits), 2)
         max_count = max(
             sum(start <= wait < start + 0.1 for wait in waits)
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -276,7 +276,7 @@
         choices = []
         for group in engines:
             choice = dispatch.choose(request, group, popularity, 0)
-            if choice is not None and dispatch.is_good(request, choice):
+            if choice is not None and dispatch.is_acceptable(request, choice):
                 return choice
             choices += [choice] if choice else []
         return min(choices, key=lambda choice: choice.wait, default=None)
