--- a/benchmarks/owner_cost.py
+++ b/benchmarks/owner_cost.py
@@ -130,7 +130,7 @@
     )
     upstreams = [_upstream(number) for number in range(engines)]
     for upstream in upstreams:
-        catalogue._take_upstream(upstream)
+        catalogue._apply_upstream(upstream)
     await owner.replace_engines(upstreams, traits)
     names = []
     for owned in owner.engines.engines_by_id.values():
--- a/flamingovalve/config/keeper.py
+++ b/flamingovalve/config/keeper.py
@@ -197,7 +197,7 @@
         chosen = hashing.rank(f'watch {domain}', names)[:count]
         return own.vm.id in chosen or not names
 
-    async def hear(self, rumour: VersionRumour) -> None:
+    async def apply_rumour(self, rumour: VersionRumour) -> None:
         """Fetch from the VM that holds something newer."""
         member = self._members.by_id.get(rumour.vm)
         if member is None or not self.is_behind(rumour):
--- a/flamingovalve/daemon.py
+++ b/flamingovalve/daemon.py
@@ -199,7 +199,7 @@
         server.on_work(messages.ForwardCompletion, self._forwarded_work)
         server.on_work(messages.ForwardCall, self._forwarded_call)
         self.rumours = GossipHandlers(self)
-        self.gossip.rumour_listener = self.rumours.hear
+        self.gossip.rumour_listener = self.rumours.apply_rumour
         self.gossip.standing_rumours = self.rumours.standing_rumours
         self.gossip.late_wakeup_listeners.append(self.engines.invalidate_leases)
         self.keeper.accepted_listeners.append(self._accepted)
--- a/flamingovalve/engines/store.py
+++ b/flamingovalve/engines/store.py
@@ -91,7 +91,7 @@
         """Return the number of loads that wait on this VM."""
         return sum(self._waiting_by_owner.values())
 
-    def hear(self, rumour: StoreRumour) -> bool:
+    def apply_rumour(self, rumour: StoreRumour) -> bool:
         """Record another VM's use; return whether the rumour was newer."""
         known = self._rumours_by_vm.get(rumour.vm)
         if rumour.vm == self._own_id:
--- a/flamingovalve/gateway/catalogue.py
+++ b/flamingovalve/gateway/catalogue.py
@@ -249,7 +249,7 @@
         if isinstance(decoded, Configuration):
             self._apply_configuration(decoded)
         elif isinstance(decoded, Upstream):
-            self._take_upstream(decoded)
+            self._apply_upstream(decoded)
         elif isinstance(decoded, AdapterVersion):
             name = (decoded.model, decoded.adapter)
             self._versions[name] = decoded.version
@@ -270,7 +270,7 @@
             len(configuration.services_by_name),
         )
 
-    def _take_upstream(self, upstream: Upstream) -> None:
+    def _apply_upstream(self, upstream: Upstream) -> None:
         self._lists_valid_until = float('-inf')
         known = self._upstreams_by_id.get(upstream.id)
         self._upstreams_by_id[upstream.id] = _KnownUpstream(upstream)
--- a/flamingovalve/gateway/daemon.py
+++ b/flamingovalve/gateway/daemon.py
@@ -32,7 +32,7 @@
 from flamingovalve.gateway.revocation import RevocationGuard
 from flamingovalve.gateway.serving import RequestServer
 from flamingovalve.gateway.shards import Shards
-from flamingovalve.gateway.side_answers import SideAnswers
+from flamingovalve.gateway.side_answers import AuxiliaryEndpoints
 from flamingovalve.gateway.state import counts_of, gauges_of, state_of
 from flamingovalve.gateway.watchers import Watchers
 from flamingovalve.generated import messages
@@ -238,11 +238,11 @@
             self.quotas,
             self.server,
             self.metrics,
-            self.follower.until_configured,
+            self.follower.seconds_until_configured,
         )
         self.http = HttpServer(self.network, self.front.answer, limits)
         self.http.error_response = self.platform.error_response
-        side_answers = SideAnswers(
+        side_answers = AuxiliaryEndpoints(
             self.platform,
             self.directory,
             settings.gateway.address_seconds,
@@ -267,9 +267,9 @@
             self.places,
             self.background,
         )
-        self.gossip.rumour_listener = handlers.hear
+        self.gossip.rumour_listener = handlers.apply_rumour
         self.gossip.standing_rumours = self._standing_rumours
-        self.gossip.late_wakeup_listeners.append(self.owned.note_late_wakeup)
+        self.gossip.late_wakeup_listeners.append(self.owned.record_late_wakeup)
         self.follower.listeners.append(self._on_configuration_change)
         self.follower.publish = self.gossip.push
         self.quarantine.publish = self.gossip.push
--- a/flamingovalve/gateway/dispatch.py
+++ b/flamingovalve/gateway/dispatch.py
@@ -198,7 +198,7 @@
     waits = [
         0.0
         if not ask.adapter or ask.adapter in engine.held
-        else max(0, engine.chain.stands_down_until - clock.now())
+        else max(0, engine.chain.paused_until - clock.now())
         for engine in engines
     ]
     return min(waits, default=0.0)
--- a/flamingovalve/gateway/engine.py
+++ b/flamingovalve/gateway/engine.py
@@ -132,7 +132,7 @@
             )
             uncertain = uncertain or self.ledger.fence == NO_FENCE
             delay = _EAGER_REPORT_SECONDS if uncertain else _REPORT_SECONDS
-            pause = chain.stands_down_until - clock.now()
+            pause = chain.paused_until - clock.now()
             if 0 < pause < delay:
                 delay = pause
             async with curio.ignore_after(delay):
@@ -189,7 +189,7 @@
         outcome = await self._order_adapter(Action.LOAD, held)
         self._context.counts.loads += 1
         if outcome is OrderOutcome.ACCEPTED:
-            self.ledger.chain.note_accepted()
+            self.ledger.chain.record_accepted()
             self.ledger.record_load_accepted(held)
         elif outcome is OrderOutcome.HOLDS:
             held.ready_at = clock.now()
@@ -218,13 +218,13 @@
         outcome = await self._order_adapter(Action.UNLOAD, victim)
         self._context.counts.unloads += 1
         if outcome is OrderOutcome.HOLDS:
-            self.ledger.chain.note_accepted()
+            self.ledger.chain.record_accepted()
             self.ledger.forget(victim.name)
             return True
         if outcome is OrderOutcome.ACCEPTED:
             # A request still uses the adapter. The engine unloads it when
             # that request ends; a report shows when.
-            self.ledger.chain.note_accepted()
+            self.ledger.chain.record_accepted()
             return False
         victim.state = AdapterState.RESIDENT
         self._record_refusal(outcome)
@@ -275,12 +275,12 @@
     def _record_refusal(self, outcome: OrderOutcome) -> None:
         chain = self.ledger.chain
         if outcome is OrderOutcome.UNKNOWN:
-            chain.note_unanswered()
+            chain.record_unanswered()
         elif outcome is OrderOutcome.CONFLICT:
             self._context.counts.conflicts += 1
-            chain.note_conflict()
+            chain.record_conflict()
         elif outcome is OrderOutcome.OUTBID:
-            chain.note_conflict()
+            chain.record_conflict()
             self._context.fences.outbid()
             self.ledger.fence = self._context.fences.claimed
         elif outcome is OrderOutcome.GONE:
@@ -312,7 +312,7 @@
         ledger.born = report.born
         foreign = ledger.chain.foreign
         counted = ledger.chain.sequence or 0
-        if ledger.chain.note_report(report):
+        if ledger.chain.record_report(report):
             self._context.counts.foreign += 1
             logger.warning(
                 'upstream {} accepts orders from another sender; sequence={}',
@@ -361,7 +361,7 @@
         async with self._ordering:
             outcome = await self._send(Action.LOAD, model, AdapterId(''), 0)
         if outcome in _LOAD_OUTCOMES:
-            self.ledger.chain.note_accepted()
+            self.ledger.chain.record_accepted()
             self._context.counts.model_loads += 1
             return
         self.ledger.model_ready_at = 0
--- a/flamingovalve/gateway/follower.py
+++ b/flamingovalve/gateway/follower.py
@@ -178,7 +178,7 @@
         else:
             await self._record_loss(failed)
 
-    def until_configured(self) -> float:
+    def seconds_until_configured(self) -> float:
         """Return the estimated time until the first read, in seconds.
 
         A store that does not answer usually stays unreachable for seconds.
@@ -189,7 +189,7 @@
             return _INITIAL_READ_SECONDS
         return _STORE_UNREACHABLE_SECONDS
 
-    async def hear(self, rumour: CatalogueRumour) -> Dissemination:
+    async def apply_rumour(self, rumour: CatalogueRumour) -> Dissemination:
         """Fetch documents from another VM if it announces newer ones."""
         newer = rumour.revision > self._catalogue.changed_revision
         if newer and not self._is_being_fetched(rumour):
@@ -212,7 +212,7 @@
 
     async def apply_watch_rumour(self, rumour: WatchRumour) -> Dissemination:
         """Record whether another VM reaches the store."""
-        return self._watchers.hear(rumour)
+        return self._watchers.apply_rumour(rumour)
 
     async def fresh_revision(self) -> int | None:
         """Return the store's current revision, or None without an answer."""
--- a/flamingovalve/gateway/front.py
+++ b/flamingovalve/gateway/front.py
@@ -38,14 +38,14 @@
         quotas: QuotaClient,
         server: RequestServer,
         metrics: GatewayMetrics,
-        until_configured: Callable[[], float],
+        seconds_until_configured: Callable[[], float],
     ) -> None:
         """Serve the requests that ``access`` admits through ``server``.
 
-        :param until_configured: returns the estimated seconds until the first
+        :param seconds_until_configured: returns the estimated seconds until the first
             configuration has been read
         """
-        self._until_configured = until_configured
+        self._until_configured = seconds_until_configured
         self.in_progress = 0
         self._platform = platform
         self._catalogue = catalogue
--- a/flamingovalve/gateway/gossip_handlers.py
+++ b/flamingovalve/gateway/gossip_handlers.py
@@ -43,26 +43,26 @@
         self._background = background
 
     @singledispatchmethod
-    async def hear(self, _rumour: Any) -> Dissemination:
+    async def apply_rumour(self, _rumour: Any) -> Dissemination:
         """Apply a rumour; return whether and how urgently to pass it on."""
         return Dissemination.NONE
 
-    @hear.register
+    @apply_rumour.register
     async def _catalogue(self, rumour: CatalogueRumour) -> Dissemination:
-        return await self._follower.hear(rumour)
+        return await self._follower.apply_rumour(rumour)
 
-    @hear.register
+    @apply_rumour.register
     async def _watch(self, rumour: WatchRumour) -> Dissemination:
         return await self._follower.apply_watch_rumour(rumour)
 
-    @hear.register
+    @apply_rumour.register
     async def _poison(self, rumour: PoisonRumour) -> Dissemination:
-        return self._quarantine.hear(rumour)
+        return self._quarantine.apply_rumour(rumour)
 
-    @hear.register
+    @apply_rumour.register
     async def _owner(self, rumour: OwnerRumour) -> Dissemination:
         before = self._claims.owner(rumour.group)
-        news = self._claims.hear(rumour)
+        news = self._claims.apply_rumour(rumour)
         if news is not Dissemination.NONE and before != rumour.vm:
             await self._background.spawn(
                 self._places.notify_new_owner,
--- a/flamingovalve/gateway/group.py
+++ b/flamingovalve/gateway/group.py
@@ -103,7 +103,7 @@
         self.orders_after = max(self.orders_after, until)
         for engine in self.engines_by_id.values():
             chain = engine.ledger.chain
-            chain.stands_down_until = max(chain.stands_down_until, until)
+            chain.paused_until = max(chain.paused_until, until)
 
     def record_request(self, ask: PlaceAsk) -> None:
         """Count a request towards the popularity of its model and adapter."""
--- a/flamingovalve/gateway/orders.py
+++ b/flamingovalve/gateway/orders.py
@@ -101,14 +101,14 @@
     :ivar quiet_since: when an order of another VM was last observed, or the
         first report was read
     :ivar foreign: how often orders of other VMs were observed
-    :ivar stands_down_until: time before which no order may be sent
+    :ivar paused_until: time before which no order may be sent
     :ivar began_at: when this VM began to monitor the engine
     :ivar accepted_at: when the engine accepted the last order of this VM
     """
 
     lease_seconds: float
     lag_seconds: float
-    stands_down_until: float
+    paused_until: float
     sequence: int | None = None
     ordered: bool = False
     unanswered: bool = False
@@ -125,7 +125,7 @@
         until the last holder has ended or sent no order for a lease.
         """
         now = clock.now()
-        if self.sequence is None or now < self.stands_down_until:
+        if self.sequence is None or now < self.paused_until:
             return False
         if self.unanswered:
             return False
@@ -134,26 +134,26 @@
         quiet = now - self.quiet_since
         return quiet > self.lease_seconds + self.lag_seconds
 
-    def note_accepted(self) -> None:
+    def record_accepted(self) -> None:
         """Record an accepted order of this VM, which raised the count."""
         if self.sequence is not None:
             self.sequence += 1
         self.ordered = True
         self.accepted_at = clock.now()
 
-    def note_unanswered(self) -> None:
+    def record_unanswered(self) -> None:
         """Pause until a report shows whether the last order was accepted."""
         self.unanswered = True
         self._pause(2 * self.lag_seconds)
 
-    def note_conflict(self) -> None:
+    def record_conflict(self) -> None:
         """Pause until a report shows whether another VM has sent an order.
 
         An engine also refuses an order while it executes others.
         """
         self._pause(2 * self.lag_seconds)
 
-    def note_report(self, report: EngineReport) -> bool:
+    def record_report(self, report: EngineReport) -> bool:
         """Update the chain from a report.
 
         :returns: whether the report shows an order of another VM
@@ -166,7 +166,7 @@
         if known is None:
             self.quiet_since = clock.now()
             return False
-        if self.unanswered and clock.now() >= self.stands_down_until:
+        if self.unanswered and clock.now() >= self.paused_until:
             self.unanswered = False
             known += report.sequence == known + 1
         if report.sequence <= known:
@@ -220,4 +220,4 @@
 
     def _pause(self, seconds: float) -> None:
         until = clock.now() + seconds
-        self.stands_down_until = max(self.stands_down_until, until)
+        self.paused_until = max(self.paused_until, until)
--- a/flamingovalve/gateway/owned.py
+++ b/flamingovalve/gateway/owned.py
@@ -134,7 +134,7 @@
         pause += 2 * self._settings.report_lag_seconds
         self._orders_after = clock.now() + pause
 
-    def note_late_wakeup(self) -> None:
+    def record_late_wakeup(self) -> None:
         """Send no orders for a lease after the process woke up late.
 
         Other VMs may have taken over the groups in between.
--- a/flamingovalve/gateway/owner.py
+++ b/flamingovalve/gateway/owner.py
@@ -109,12 +109,12 @@
         :raises ServingError: if none becomes available in time, or if the
             request may be declined and should try another group
         """
-        at_once = self.place_at_once(ask)
+        at_once = self.place_immediately(ask)
         if at_once is not None:
             return at_once
-        return await self.place_in_turn(ask)
+        return await self.place_queued(ask)
 
-    def place_at_once(self, ask: PlaceAsk) -> Place | None:
+    def place_immediately(self, ask: PlaceAsk) -> Place | None:
         """Return a place on an engine that holds the adapter, if there is one.
 
         Most requests ask for a resident adapter. They bypass the queue and
@@ -135,7 +135,7 @@
         self._log_place(ask, choice, 0)
         return place
 
-    async def place_in_turn(self, ask: PlaceAsk) -> Place:
+    async def place_queued(self, ask: PlaceAsk) -> Place:
         """Queue ``ask`` and wait until it is granted a place.
 
         :raises ServingError: if no place becomes available in time
--- a/flamingovalve/gateway/ownership.py
+++ b/flamingovalve/gateway/ownership.py
@@ -125,7 +125,7 @@
         )
         return rumour
 
-    def hear(self, rumour: OwnerRumour) -> Dissemination:
+    def apply_rumour(self, rumour: OwnerRumour) -> Dissemination:
         """Apply another VM's claim if it has precedence over the known one."""
         known = self.by_group.get(rumour.group)
         if known is not None and _precedence(known) >= _precedence(rumour):
--- a/flamingovalve/gateway/places.py
+++ b/flamingovalve/gateway/places.py
@@ -269,7 +269,7 @@
             # would take capacity from requests that are still waiting.
             owner.counts.withdrawn += 1
             return
-        place = owner.place_at_once(ask)
+        place = owner.place_immediately(ask)
         if place is None:
             place = await self._wait_for_place(owner, ask, connection)
         end_message = PlaceEnd(PlaceOutcome.ABANDONED, 0)
@@ -288,7 +288,7 @@
         """Wait for a place while sending heartbeats to the asking VM."""
         await connection.send(Heartbeat(0))
         async with PeerHeartbeats(connection, _HEARTBEAT_SECONDS):
-            return await owner.place_in_turn(ask)
+            return await owner.place_queued(ask)
 
     async def _wait_for_end(
         self,
--- a/flamingovalve/gateway/quarantine.py
+++ b/flamingovalve/gateway/quarantine.py
@@ -106,7 +106,7 @@
         elif outcome is Outcome.LOST and await self._has_crashed(upstream):
             await self._record_crash(request, upstream)
 
-    def hear(self, rumour: PoisonRumour) -> Dissemination:
+    def apply_rumour(self, rumour: PoisonRumour) -> Dissemination:
         """Apply the crash count of another VM if it is higher."""
         if self._crash_count(rumour.fingerprint) >= rumour.crashes:
             return Dissemination.NONE
--- a/flamingovalve/gateway/side_answers.py
+++ b/flamingovalve/gateway/side_answers.py
@@ -20,7 +20,7 @@
 _TEXT: Final = [('content-type', 'text/plain; version=0.0.4; charset=utf-8')]
 
 
-class SideAnswers:
+class AuxiliaryEndpoints:
     """Handles requests other than those to published routes."""
 
     def __init__(
--- a/flamingovalve/gateway/watchers.py
+++ b/flamingovalve/gateway/watchers.py
@@ -69,7 +69,7 @@
         self._received_by_vm[rumour.vm] = _Received(rumour, clock.now())
         return rumour
 
-    def hear(self, rumour: WatchRumour) -> Dissemination:
+    def apply_rumour(self, rumour: WatchRumour) -> Dissemination:
         """Record a newer rumour on whether another VM reaches the store."""
         known = self._received_by_vm.get(rumour.vm)
         if known is not None and _recency(known.rumour) >= _recency(rumour):
--- a/flamingovalve/gossip_handlers.py
+++ b/flamingovalve/gossip_handlers.py
@@ -25,11 +25,11 @@
         self._daemon = daemon
 
     @singledispatchmethod
-    async def hear(self, rumour: Any) -> Dissemination:
+    async def apply_rumour(self, rumour: Any) -> Dissemination:
         """Take a rumour; give how it travels on."""
         raise TypeError(f'{type(rumour).__name__} is not a rumour')
 
-    @hear.register(messages.VersionRumour)
+    @apply_rumour.register(messages.VersionRumour)
     async def _hear_version(
         self, rumour: messages.VersionRumour
     ) -> Dissemination:
@@ -40,27 +40,27 @@
             and not self._daemon.keeper.is_busy
         ):
             await self._daemon.background.spawn(
-                self._daemon.keeper.hear, rumour
+                self._daemon.keeper.apply_rumour, rumour
             )
         return Dissemination.NONE
 
-    @hear.register(messages.PoisonRumour)
+    @apply_rumour.register(messages.PoisonRumour)
     async def _hear_poison(
         self, rumour: messages.PoisonRumour
     ) -> Dissemination:
-        heard = self._daemon.quarantine.hear(rumour)
+        heard = self._daemon.quarantine.apply_rumour(rumour)
         return Dissemination.URGENT if heard else Dissemination.NONE
 
-    @hear.register(messages.StoreRumour)
+    @apply_rumour.register(messages.StoreRumour)
     async def _hear_store(self, rumour: messages.StoreRumour) -> Dissemination:
-        heard = self._daemon.store.hear(rumour)
+        heard = self._daemon.store.apply_rumour(rumour)
         return Dissemination.ORDINARY if heard else Dissemination.NONE
 
-    @hear.register(messages.SpreadRumour)
+    @apply_rumour.register(messages.SpreadRumour)
     async def _hear_spread(
         self, rumour: messages.SpreadRumour
     ) -> Dissemination:
-        heard = self._daemon.placement.hear(rumour)
+        heard = self._daemon.placement.apply_rumour(rumour)
         return Dissemination.URGENT if heard else Dissemination.NONE
 
     def standing_rumours(self) -> list[Any]:
--- a/flamingovalve/relay/quarantine.py
+++ b/flamingovalve/relay/quarantine.py
@@ -133,7 +133,7 @@
         if fingerprint not in self._by_fingerprint:
             self._suspect(fingerprint, alone=False)
 
-    def hear(self, rumour: PoisonRumour) -> bool:
+    def apply_rumour(self, rumour: PoisonRumour) -> bool:
         """Take another VM's finding; tell whether it was news."""
         known = self._by_fingerprint.get(rumour.fingerprint)
         if known is not None and known.crashes >= rumour.crashes:
--- a/flamingovalve/routing/placement.py
+++ b/flamingovalve/routing/placement.py
@@ -95,7 +95,7 @@
             return 1
         return max(1, rumour.engines)
 
-    def hear(self, rumour: SpreadRumour) -> bool:
+    def apply_rumour(self, rumour: SpreadRumour) -> bool:
         """Record an owner's rumour of a hot adapter.
 
         :returns: whether the rumour was newer than the known one
@@ -113,7 +113,7 @@
         """
         sequence = int(clock.wall() * 1000)
         rumour = SpreadRumour(AdapterId(name), engines, sequence)
-        self.hear(rumour)
+        self.apply_rumour(rumour)
         return rumour
 
     def spreads(self) -> dict[str, int]:
--- a/tests/rig/site_faults.py
+++ b/tests/rig/site_faults.py
@@ -161,7 +161,7 @@
 
     # -- Checks
 
-    def broken_promises(self) -> list[str]:
+    def find_violations(self) -> list[str]:
         """Return a description of each violation."""
         broken = []
         for engine in self.site.engines:
--- a/tests/rig/workspace_faults.py
+++ b/tests/rig/workspace_faults.py
@@ -82,7 +82,7 @@
         self.revoked_at_by_key[key] = self.site.world.monotonic()
         self._publish()
 
-    def broken_promises(self) -> list[str]:
+    def find_violations(self) -> list[str]:
         """Describe each violation of the revocation bound or the quota."""
         executed_ids = {
             request_id
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -54,7 +54,7 @@
         A new owner sends no orders for one lease. Callers of adapters that no
         engine holds waited until they disconnected, without a retry time.
         """
-        self.engine.chain.stands_down_until = self.moment + LEASE
+        self.engine.chain.paused_until = self.moment + LEASE
         refusal = self.find_refusal(ask('new'))
         self.assertGreaterEqual(refusal.retry_after, LEASE)
         self.assertIsNone(self.find_refusal(ask('a1')))
@@ -75,7 +75,7 @@
         """Guards against refusals while loads are only paused."""
         admission = Admission()
         engines = [self.engine]
-        self.engine.chain.stands_down_until = self.moment + 1
+        self.engine.chain.paused_until = self.moment + 1
         for _check in range(9):
             self.advance(0.1)
             position = QueuePosition(2, is_late=True)
--- a/tests/test_fallback_placement.py
+++ b/tests/test_fallback_placement.py
@@ -56,7 +56,7 @@
         service = UpstreamService(SERVICE, TRAITS)
         catalogue.configuration = Configuration(1, {}, {SERVICE: service})
         for name in self.engines:
-            catalogue._take_upstream(upstream(name))
+            catalogue._apply_upstream(upstream(name))
         catalogue._versions[ask().model, AdapterId('new')] = 2
         self.places = FallbackPlacement(
             catalogue, lambda one: self.engines[one.id], lambda: VMS
--- a/tests/test_group_claims.py
+++ b/tests/test_group_claims.py
@@ -72,14 +72,14 @@
     def test_claim_is_applied_once(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
-        self.assertIs(other.hear(claim), Dissemination.URGENT)
-        self.assertIs(other.hear(claim), Dissemination.NONE)
+        self.assertIs(other.apply_rumour(claim), Dissemination.URGENT)
+        self.assertIs(other.apply_rumour(claim), Dissemination.NONE)
         self.assertEqual(other.owner(GROUP), self.claimer.members.own_id)
 
     def test_next_claim_exceeds_every_known_epoch(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
-        other.hear(claim)
+        other.apply_rumour(claim)
         self.assertEqual(other.claim(GROUP, 3).epoch, 8)
         self.assertEqual(other.claim(GROUP, 90).epoch, 90)
 
@@ -91,7 +91,7 @@
         them all.
         """
         other = self.others[0]
-        other.hear(self.claimer.claim(GroupId('engines/1'), 90))
+        other.apply_rumour(self.claimer.claim(GroupId('engines/1'), 90))
         self.assertGreater(other.claim(GROUP, 7).epoch, 90)
 
     def test_large_vms_own(self):
@@ -117,7 +117,7 @@
     def test_restarted_owner_owns_nothing(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
-        other.hear(claim)
+        other.apply_rumour(claim)
         restarted = MemberRumour(claim.vm, Incarnation(2), 0, MemberState.ALIVE)
         other.members.apply(restarted)
         self.assertIsNone(other.owner(GROUP))
@@ -130,7 +130,7 @@
         """
         claim = self.claimer.claim(GROUP, 7)
         partitioned = self.others[0]
-        partitioned.hear(claim)
+        partitioned.apply_rumour(claim)
         self.advance(5)
         self.mark_dead(
             partitioned, *(vm for vm in VMS if vm != partitioned.members.own_id)
@@ -138,8 +138,10 @@
         self.assertTrue(partitioned.should_claim(GROUP))
         provisional = partitioned.claim(GROUP, 50)
         self.assertTrue(provisional.provisional)
-        self.assertIs(self.claimer.hear(provisional), Dissemination.NONE)
-        self.assertIs(partitioned.hear(claim), Dissemination.URGENT)
+        self.assertIs(
+            self.claimer.apply_rumour(provisional), Dissemination.NONE
+        )
+        self.assertIs(partitioned.apply_rumour(claim), Dissemination.URGENT)
 
     def test_claim_of_an_unknown_vm_holds_for_a_lease(self):
         """A VM that has just restarted knows only a quarter of the others.
@@ -151,7 +153,7 @@
         fresh = GroupClaims(table_of(VMS[0]), self.moment)
         del fresh.members.by_id[claim.vm]
         fresh.members.invalidate_present()
-        fresh.hear(claim)
+        fresh.apply_rumour(claim)
         self.advance(3)
         self.assertEqual(fresh.owner(GROUP), claim.vm)
         self.advance(2)
@@ -160,7 +162,7 @@
     def test_claim_of_an_ended_owner_is_void(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
-        other.hear(claim)
+        other.apply_rumour(claim)
         other.members.by_id[claim.vm].record_end(claim.incarnation)
         self.assertIsNone(other.owner(GROUP))
 
@@ -180,7 +182,7 @@
     def test_leaving_predecessor_has_ended(self):
         claim = self.claimer.claim(GROUP, 7)
         other = self.others[0]
-        other.hear(claim)
+        other.apply_rumour(claim)
         self.assertFalse(other.predecessor_ended(GROUP))
         other.members.apply(
             MemberRumour(claim.vm, Incarnation(1), 1, MemberState.LEAVING)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -15,24 +15,24 @@
     def setUp(self) -> None:
         """Create a chain that has read no report."""
         super().setUp()
-        self.chain = OrderChain(LEASE, LAG, stands_down_until=0)
+        self.chain = OrderChain(LEASE, LAG, paused_until=0)
 
     def test_no_order_before_a_report(self):
         self.assertFalse(self.chain.may_order())
 
     def test_engine_without_accepted_orders(self):
-        self.chain.note_report(report(0))
+        self.chain.record_report(report(0))
         self.assertTrue(self.chain.may_order())
 
     def test_takeover_after_a_lease_without_orders(self):
-        self.chain.note_report(report(7))
+        self.chain.record_report(report(7))
         self.assertFalse(self.chain.may_order())
         self.advance(LEASE + LAG + 0.1)
         self.assertTrue(self.chain.may_order())
 
     def test_takeover_after_an_ended_predecessor(self):
         self.chain.predecessor_ended = True
-        self.chain.note_report(report(7))
+        self.chain.record_report(report(7))
         self.assertTrue(self.chain.may_order())
 
     def test_last_order_of_an_ended_predecessor_is_not_foreign(self):
@@ -44,18 +44,18 @@
         more than a lease.
         """
         self.chain.predecessor_ended = True
-        self.chain.note_report(report(7))
-        self.chain.note_conflict()
+        self.chain.record_report(report(7))
+        self.chain.record_conflict()
         self.advance(2 * LAG + 0.01)
-        self.assertFalse(self.chain.note_report(report(8)))
+        self.assertFalse(self.chain.record_report(report(8)))
         self.assertTrue(self.chain.may_order())
 
     def test_continued_orders_are_those_of_another_owner(self):
         """An owner that was considered ended continues to send orders."""
         self.chain.predecessor_ended = True
-        self.chain.note_report(report(7))
+        self.chain.record_report(report(7))
         self.advance(2)
-        self.chain.note_report(report(8))
+        self.chain.record_report(report(8))
         self.assertFalse(self.chain.may_order())
 
     def test_order_that_the_engine_did_not_count(self):
@@ -63,42 +63,42 @@
 
         Otherwise the engine would refuse every later order of the owner.
         """
-        self.chain.note_report(report(7))
+        self.chain.record_report(report(7))
         self.advance(LEASE + LAG + 0.1)
-        self.chain.note_accepted()
-        self.chain.note_accepted()
-        self.chain.note_conflict()
+        self.chain.record_accepted()
+        self.chain.record_accepted()
+        self.chain.record_conflict()
         self.advance(2)
-        self.assertFalse(self.chain.note_report(report(8)))
+        self.assertFalse(self.chain.record_report(report(8)))
         self.assertEqual(self.chain.sequence, 8)
         self.assertTrue(self.chain.may_order())
-        self.assertFalse(self.chain.note_report(report(8)))
+        self.assertFalse(self.chain.record_report(report(8)))
 
     def test_late_report_does_not_correct_the_count(self):
         """A report that precedes the last order must not correct the count.
 
         Otherwise the VM would take its own order for another owner's.
         """
-        self.chain.note_report(report(7))
+        self.chain.record_report(report(7))
         self.advance(LEASE + LAG + 0.1)
-        self.chain.note_accepted()
+        self.chain.record_accepted()
         self.advance(0.2)
-        self.chain.note_report(report(7))
+        self.chain.record_report(report(7))
         self.assertEqual(self.chain.sequence, 8)
-        self.assertFalse(self.chain.note_report(report(8)))
+        self.assertFalse(self.chain.record_report(report(8)))
         self.assertTrue(self.chain.ordered)
 
     def test_own_orders_are_counted(self):
-        self.chain.note_report(report(0))
-        self.chain.note_accepted()
-        self.assertFalse(self.chain.note_report(report(1)))
+        self.chain.record_report(report(0))
+        self.chain.record_accepted()
+        self.assertFalse(self.chain.record_report(report(1)))
         self.assertTrue(self.chain.may_order())
 
     def test_late_report_is_not_a_foreign_order(self):
-        self.chain.note_report(report(0))
-        self.chain.note_accepted()
-        self.chain.note_accepted()
-        self.assertFalse(self.chain.note_report(report(1)))
+        self.chain.record_report(report(0))
+        self.chain.record_accepted()
+        self.chain.record_accepted()
+        self.assertFalse(self.chain.record_report(report(1)))
         self.assertEqual(self.chain.sequence, 2)
 
     def test_foreign_order_pauses_for_more_than_a_lease(self):
@@ -107,9 +107,9 @@
         If both sent orders, each would undo the other's loads, and the engine
         would see two holders alternate.
         """
-        self.chain.note_report(report(0))
-        self.chain.note_accepted()
-        self.assertTrue(self.chain.note_report(report(2)))
+        self.chain.record_report(report(0))
+        self.chain.record_accepted()
+        self.assertTrue(self.chain.record_report(report(2)))
         self.assertFalse(self.chain.may_order())
         self.advance(LEASE)
         self.assertFalse(self.chain.may_order())
@@ -122,33 +122,33 @@
         If the order counted as refused, the next one would name a wrong
         count, and the owner would pause for seconds due to its own order.
         """
-        self.chain.note_report(report(0))
-        self.chain.note_accepted()
-        self.chain.note_unanswered()
+        self.chain.record_report(report(0))
+        self.chain.record_accepted()
+        self.chain.record_unanswered()
         self.assertFalse(self.chain.may_order())
         self.advance(2 * LAG + 0.1)
-        self.assertFalse(self.chain.note_report(report(2)))
+        self.assertFalse(self.chain.record_report(report(2)))
         self.assertTrue(self.chain.may_order())
         self.assertEqual(self.chain.sequence, 2)
 
     def test_unanswered_order_that_was_not_accepted(self):
-        self.chain.note_report(report(0))
-        self.chain.note_unanswered()
+        self.chain.record_report(report(0))
+        self.chain.record_unanswered()
         self.advance(2 * LAG + 0.1)
-        self.assertFalse(self.chain.note_report(report(0)))
+        self.assertFalse(self.chain.record_report(report(0)))
         self.assertTrue(self.chain.may_order())
         self.assertEqual(self.chain.sequence, 0)
 
     def test_conflict_pauses_until_a_report(self):
-        self.chain.note_report(report(0))
-        self.chain.note_conflict()
+        self.chain.record_report(report(0))
+        self.chain.record_conflict()
         self.assertFalse(self.chain.may_order())
         self.advance(2 * LAG + 0.1)
-        self.chain.note_report(report(0))
+        self.chain.record_report(report(0))
         self.assertTrue(self.chain.may_order())
 
     def test_restarted_engine_resets_the_chain(self):
-        self.chain.note_report(report(5))
+        self.chain.record_report(report(5))
         self.chain.restart()
-        self.chain.note_report(report(0))
+        self.chain.record_report(report(0))
         self.assertTrue(self.chain.may_order())
--- a/tests/test_owned_groups.py
+++ b/tests/test_owned_groups.py
@@ -42,7 +42,7 @@
         self.catalogue.configuration = Configuration(
             1, {}, {service.name: service}
         )
-        self.catalogue._take_upstream(upstream('engine-0'))
+        self.catalogue._apply_upstream(upstream('engine-0'))
         self.claims = self._claims_of_candidate()
         self.owned = OwnedGroups(
             GatewaySettings(),
@@ -79,7 +79,7 @@
     def seconds_until_orders(self):
         """Return the seconds until the VM may send orders."""
         engine = self.owned.find(GROUP).engines.engines_by_id['engine-0']
-        return engine.ledger.chain.stands_down_until - self.moment
+        return engine.ledger.chain.paused_until - self.moment
 
     def test_no_orders_within_a_lease_of_losing_the_group(self):
         """Another VM claims the group and ends, so this VM acquires it again.
@@ -93,7 +93,7 @@
             await self.reconcile()
             self.assertLessEqual(self.seconds_until_orders(), 0)
             other = next(v for v in VMS if v != self.claims.members.own_id)
-            self.claims.hear(OwnerRumour(GROUP, other, 1, 99))
+            self.claims.apply_rumour(OwnerRumour(GROUP, other, 1, 99))
             await self.reconcile()
             self.assertIsNone(self.owned.find(GROUP))
             self.advance(0.5)
@@ -115,7 +115,7 @@
             self.advance(10)
             await self.reconcile()
             claimed = self.owned.find(GROUP).fences.claimed
-            self.catalogue._take_upstream(upstream('engine-1'))
+            self.catalogue._apply_upstream(upstream('engine-1'))
             self.revision = 90
             await self.reconcile()
             await curio.sleep(0)
@@ -157,7 +157,7 @@
 
         async def scenario():
             other = next(v for v in VMS if v != self.claims.members.own_id)
-            self.claims.hear(OwnerRumour(GROUP, other, 1, 99))
+            self.claims.apply_rumour(OwnerRumour(GROUP, other, 1, 99))
             self.claims.members.apply(rumour_of(other, MemberState.LEAVING))
             self.revision = None
             self.advance(10)
@@ -206,7 +206,7 @@
             other = next(v for v in VMS if v != self.claims.members.own_id)
 
             async def receive_claim():
-                self.claims.hear(OwnerRumour(GROUP, other, 1, 50))
+                self.claims.apply_rumour(OwnerRumour(GROUP, other, 1, 50))
                 return 60
 
             self.owned._fresh_revision = receive_claim
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -55,7 +55,7 @@
         )
         listed = [upstream(f'engine-{n}') for n in range(self.engine_count)]
         for one in listed:
-            catalogue._take_upstream(one)
+            catalogue._apply_upstream(one)
         await owner.replace_engines(listed, TRAITS)
         for engine in owner.engines.ledgers():
             engine.models.add(MODEL)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -50,7 +50,7 @@
     async def _publish(self, rumour):
         """Deliver a rumour to both VMs."""
         for vm in self.vms:
-            vm.hear(rumour)
+            vm.apply_rumour(rumour)
 
     def send(self, vm, outcome, body=b'deadly'):
         """Check a request on a VM and record the outcome of sending it."""
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -27,7 +27,7 @@
     """Return a catalogue with ``count`` engines."""
     made = Catalogue(lambda document: document)
     for number in range(count):
-        made._take_upstream(upstream(f'engine-{number}'))
+        made._apply_upstream(upstream(f'engine-{number}'))
     return made
 
 
@@ -79,7 +79,7 @@
         self.advance(1)
         self.assertEqual(divided.count(SERVICE), 8)
         for number in range(30, 70):
-            catalogue._take_upstream(upstream(f'engine-{number}'))
+            catalogue._apply_upstream(upstream(f'engine-{number}'))
         self.assertEqual(divided.count(SERVICE), 8)
         self.advance(5)
         self.assertEqual(divided.count(SERVICE), 8)
--- a/tests/test_site_faults.py
+++ b/tests/test_site_faults.py
@@ -26,7 +26,7 @@
     faulty = FaultySite(seed)
     try:
         faulty.play(STEPS)
-        return faulty.broken_promises()
+        return faulty.find_violations()
     finally:
         faulty.close()
 
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -73,7 +73,7 @@
         rumours = [one.own_store_rumour(lost=True) for one in lost]
         for one in fleet:
             for rumour in rumours:
-                one.hear(rumour)
+                one.apply_rumour(rumour)
 
     def test_one_of_each_domain_watches(self):
         fleet = fleet_of(140, 4)
@@ -133,8 +133,8 @@
         sender, receiver = fleet[1], fleet[0]
         lost = sender.own_store_rumour(lost=True)
         back = sender.own_store_rumour(lost=False)
-        self.assertIs(receiver.hear(back), Dissemination.URGENT)
-        self.assertIs(receiver.hear(lost), Dissemination.NONE)
+        self.assertIs(receiver.apply_rumour(back), Dissemination.URGENT)
+        self.assertIs(receiver.apply_rumour(lost), Dissemination.NONE)
 
 
 def entry(name: str, state: UpstreamState = UpstreamState.READY) -> Upstream:
@@ -175,7 +175,9 @@
 
         async def apply_all():
             for name in names:
-                await self.follower.hear(CatalogueRumour(VmId(name), revision))
+                await self.follower.apply_rumour(
+                    CatalogueRumour(VmId(name), revision)
+                )
             await curio.sleep(0)
 
         curio.run(apply_all)
--- a/tests/test_workspace_faults.py
+++ b/tests/test_workspace_faults.py
@@ -18,7 +18,7 @@
     site = FaultyWorkspaceSite(seed)
     try:
         site.play(STEPS)
-        return site.broken_promises()
+        return site.find_violations()
     finally:
         site.close()
 
