--- a/flamingovalve/gateway/attempts.py
+++ b/flamingovalve/gateway/attempts.py
@@ -7,14 +7,18 @@
 import curio
 
 from flamingovalve.errors import ErrorKind, Ran, ServingError
-from flamingovalve.gateway.relay import Outcome, failure, may_send_again
+from flamingovalve.gateway.relay import (
+    Outcome,
+    error_for_outcome,
+    may_send_again,
+)
 from flamingovalve.util.logs import get_logger, note
 
 if TYPE_CHECKING:
     from flamingovalve.gateway.inbound import InboundRequest
     from flamingovalve.gateway.model import Upstream
     from flamingovalve.gateway.quarantine import CrashQuarantine
-    from flamingovalve.gateway.relay import Sent
+    from flamingovalve.gateway.relay import SendResult
     from flamingovalve.gateway.retries import FleetRetryBudget
     from flamingovalve.generated.ids import ServiceId
 
@@ -39,11 +43,11 @@
         self._budget = budget
         self._quarantine = quarantine
 
-    def may_retry(self, request: InboundRequest, last: Sent) -> bool:
+    def may_retry(self, request: InboundRequest, last: SendResult) -> bool:
         """Return whether a request may be sent again after ``last``."""
         if not may_send_again(request, last.outcome):
             return False
-        if len(request.tried) >= request.route.most_upstreams:
+        if len(request.tried) >= request.route.max_upstreams:
             return False
         if request.remaining() <= 0:
             return False
@@ -55,7 +59,7 @@
         self,
         request: InboundRequest,
         upstream: Upstream,
-        sent: Sent,
+        sent: SendResult,
     ) -> None:
         """Record where a request was sent and whether it may have run."""
         if sent.outcome in {Outcome.NOT_RUN, Outcome.UNREACHABLE}:
@@ -88,7 +92,7 @@
 
     If an earlier attempt may have run the request, the error says so.
     """
-    error = failure(outcome)
+    error = error_for_outcome(outcome)
     if request.tried:
         error.ran = Ran.UNKNOWN
     return error
--- a/flamingovalve/gateway/calls.py
+++ b/flamingovalve/gateway/calls.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from flamingovalve.gateway.attempts import MAX_SENDS, final_error, no_upstream
-from flamingovalve.gateway.relay import Outcome, Sending
+from flamingovalve.gateway.relay import Outcome, SendOptions
 
 if TYPE_CHECKING:
     from flamingovalve.gateway.attempts import Attempts
@@ -13,7 +13,7 @@
     from flamingovalve.gateway.catalogue import Catalogue
     from flamingovalve.gateway.inbound import InboundRequest
     from flamingovalve.gateway.model import Upstream
-    from flamingovalve.gateway.relay import Sent, UpstreamRelay
+    from flamingovalve.gateway.relay import SendResult, UpstreamRelay
     from flamingovalve.http.server import Responder
 
 
@@ -52,8 +52,8 @@
     async def _send_until_answered(
         self,
         request: InboundRequest,
-    ) -> Sent | None:
-        sent: Sent | None = None
+    ) -> SendResult | None:
+        sent: SendResult | None = None
         for _attempt in range(MAX_SENDS):
             upstream = self._choose_upstream(request)
             if upstream is None:
@@ -72,8 +72,8 @@
         self,
         request: InboundRequest,
         upstream: Upstream,
-    ) -> Sent:
-        options = Sending(request.remaining())
+    ) -> SendResult:
+        options = SendOptions(request.remaining())
         self._balancer.started(upstream.id)
         try:
             sent = await self._relay.exchange(request, upstream, options)
--- a/flamingovalve/gateway/completions.py
+++ b/flamingovalve/gateway/completions.py
@@ -6,8 +6,8 @@
 
 from flamingovalve.errors import ConnectionLost
 from flamingovalve.gateway.attempts import MAX_SENDS, final_error, no_upstream
-from flamingovalve.gateway.model import Repeat
-from flamingovalve.gateway.relay import EventSink, Outcome, Sending
+from flamingovalve.gateway.model import RepeatPolicy
+from flamingovalve.gateway.relay import EventSink, Outcome, SendOptions
 from flamingovalve.generated.messages import PlaceAsk, PlaceOutcome
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
     from flamingovalve.gateway.model import Upstream
     from flamingovalve.gateway.place_finder import PlaceFinder
     from flamingovalve.gateway.places import PlaceClient, PlaceLease
-    from flamingovalve.gateway.relay import Sent, UpstreamRelay
+    from flamingovalve.gateway.relay import SendResult, UpstreamRelay
     from flamingovalve.generated.ids import DomainId
     from flamingovalve.http.server import Responder
 
@@ -61,7 +61,7 @@
             was started
         :raises ConnectionLost: if the stream broke and could not be resumed
         """
-        resumable = request.route.repeat is Repeat.RESUMABLE
+        resumable = request.route.repeat is RepeatPolicy.RESUMABLE
         sink = EventSink(responder, whole_events=resumable)
         place_ask = self._place_ask_of(request, completion)
         sent = await self._send_until_answered(request, place_ask, sink)
@@ -79,7 +79,7 @@
         request: InboundRequest,
         place_ask: PlaceAsk,
         sink: EventSink,
-    ) -> Sent:
+    ) -> SendResult:
         sent = await self._send_once(request, place_ask, sink)
         for _attempt in range(1, MAX_SENDS):
             if not self._attempts.may_retry(request, sent):
@@ -92,7 +92,7 @@
         request: InboundRequest,
         place_ask: PlaceAsk,
         sink: EventSink,
-    ) -> Sent:
+    ) -> SendResult:
         lease = await self._finder.take(request, place_ask)
         outcome, first_event = PlaceOutcome.ABANDONED, 0.0
         try:
@@ -111,8 +111,8 @@
         request: InboundRequest,
         lease: PlaceLease,
         sink: EventSink,
-    ) -> Sending:
-        return Sending(
+    ) -> SendOptions:
+        return SendOptions(
             request.remaining(),
             request.priority,
             lease.grant.version,
--- a/flamingovalve/gateway/inbound.py
+++ b/flamingovalve/gateway/inbound.py
@@ -94,7 +94,7 @@
         """Return the seconds until the deadline as a positive timeout."""
         return max(self.remaining(), _MIN_TIMEOUT_SECONDS)
 
-    def until_first_event(self) -> float:
+    def first_event_timeout(self) -> float:
         """Return the seconds until the caller gives up on a silent stream.
 
         Callers disconnect if no event arrives within two seconds, four times
@@ -105,11 +105,11 @@
         patience = max(
             _MIN_SILENCE_SECONDS,
             _SILENCE_PER_TARGET_LATENCY * route.target_latency,
-            _SILENCE_PER_EVENT_GAP * route.longest_pause,
+            _SILENCE_PER_EVENT_GAP * route.max_event_gap,
         )
         elapsed = clock.now() - self.received_at
         return min(self.remaining(), patience - elapsed)
 
-    def until_late(self) -> float:
+    def until_target_latency(self) -> float:
         """Return the seconds until the target latency; negative once passed."""
         return self.received_at + self.route.target_latency - clock.now()
--- a/flamingovalve/gateway/model.py
+++ b/flamingovalve/gateway/model.py
@@ -24,7 +24,7 @@
 _KEY_DIGEST_BYTES: Final = 16
 
 
-class Repeat(Enum):
+class RepeatPolicy(Enum):
     """Whether a request of a route may run more than once.
 
     A stream is not repeatable unless the caller's client or the gateway can
@@ -60,23 +60,23 @@
     :ivar target_latency: response time in seconds up to which a response has
         its full value; of a stream, the time to its first event
     :ivar priority: 0 is the most urgent
-    :ivar most_upstreams: upper limit of upstreams that may run one request
+    :ivar max_upstreams: upper limit of upstreams that may run one request
     :ivar streams: whether the response is a stream of events
-    :ivar longest_pause: target of the gap between two events in seconds
+    :ivar max_event_gap: target of the gap between two events in seconds
     :ivar is_public: whether requests are served without an API key
     """
 
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     timeout: float
     target_latency: float
     priority: int
     services: tuple[WeightedService, ...]
-    most_upstreams: int
+    max_upstreams: int
     streams: bool
-    longest_pause: float = 0
+    max_event_gap: float = 0
     is_public: bool = False
 
 
--- a/flamingovalve/gateway/place_finder.py
+++ b/flamingovalve/gateway/place_finder.py
@@ -7,7 +7,7 @@
 import curio
 
 from flamingovalve.errors import ErrorKind, ServingError
-from flamingovalve.gateway.places import OwnerSilent
+from flamingovalve.gateway.places import OwnerUnavailable
 from flamingovalve.util import clock
 from flamingovalve.util.logs import get_logger, note
 
@@ -100,7 +100,7 @@
         )
         if group is not None:
             ask.group = group
-            self._places.note_open(lease)
+            self._places.record_open_lease(lease)
         return lease
 
     async def _ask_groups(
@@ -177,13 +177,13 @@
         if owner is None or self._should_skip(owner):
             return None
         ask.group = group
-        ask.target = request.until_late()
+        ask.target = request.until_target_latency()
         ask.remaining = request.remaining()
-        ask.patience = request.until_first_event()
+        ask.patience = request.first_event_timeout()
         ask.avoided = list(request.tried)
         try:
             lease = await self._places.take(owner, ask)
-        except OwnerSilent as silent:
+        except OwnerUnavailable as silent:
             reason = str(silent)
             now = clock.now()
             self._silent_until[owner] = now + _SILENT_SECONDS
--- a/flamingovalve/gateway/places.py
+++ b/flamingovalve/gateway/places.py
@@ -111,7 +111,7 @@
         self._peers.release(self._connection, self._address)
 
 
-class OwnerSilent(Exception):
+class OwnerUnavailable(Exception):
     """The owner of a group cannot be reached or is not ready."""
 
 
@@ -137,7 +137,7 @@
         """Wait for a place on an engine that ``vm`` owns.
 
         :raises ServingError: if the owner refuses
-        :raises OwnerSilent: if the owner does not respond
+        :raises OwnerUnavailable: if the owner does not respond
         """
         if vm == self._members.own_id:
             lease = await self._take_local(ask)
@@ -156,7 +156,7 @@
         self._open_leases.discard(lease)
         await lease.end(outcome, first_event)
 
-    def note_open(self, lease: PlaceLease) -> None:
+    def record_open_lease(self, lease: PlaceLease) -> None:
         """Record a place without an owner, to report it to the next owner."""
         self._open_leases.add(lease)
 
@@ -198,7 +198,7 @@
     async def _take_local(self, ask: PlaceAsk) -> PlaceLease:
         owner = self._find_owner(ask.group)
         if owner is None:
-            raise OwnerSilent('this VM does not own the group yet')
+            raise OwnerUnavailable('this VM does not own the group yet')
         place = await owner.place(ask)
         lease = PlaceLease(ask, grant_of(place))
         lease.holder = LocalHolder(owner, place)
@@ -211,7 +211,7 @@
             reply = await connection.receive(_OWNER_TIMEOUT_SECONDS)
         except (ConnectionLost, WrongPeer) as error:
             await connection.close()
-            raise OwnerSilent(str(error)) from error
+            raise OwnerUnavailable(str(error)) from error
         except BaseException:
             await connection.close()
             raise
@@ -227,12 +227,12 @@
         if member is None:
             # A process that has just started knows few members, so a claim can
             # arrive before the member entry of its VM.
-            raise OwnerSilent(f'VM {vm} is not a known member yet')
+            raise OwnerUnavailable(f'VM {vm} is not a known member yet')
         address = member.vm.peer_address
         try:
             return address, await self._peers.acquire_live(address, vm)
         except PeerUnreachable as error:
-            raise OwnerSilent(str(error)) from error
+            raise OwnerUnavailable(str(error)) from error
 
 
 class PlaceServer:
--- a/flamingovalve/gateway/relay.py
+++ b/flamingovalve/gateway/relay.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Final, Protocol
 
 from flamingovalve.errors import ConnectionLost, ErrorKind, Ran, ServingError
-from flamingovalve.gateway.model import Repeat
+from flamingovalve.gateway.model import RepeatPolicy
 from flamingovalve.http.messages import Response, end_to_end
 from flamingovalve.util import clock
 
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Sent:
+class SendResult:
     """Result of sending a request to one upstream.
 
     :ivar response: response to return to the caller; None if the upstream
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class SendOptions:
     """Values that the gateway adds to a forwarded request.
 
     :ivar seconds: time budget of the upstream
@@ -94,7 +94,7 @@
         self,
         request: InboundRequest,
         upstream: Upstream,
-        options: Sending,
+        options: SendOptions,
     ) -> UpstreamCall:
         """Build the upstream call that forwards a request."""
 
@@ -117,8 +117,8 @@
         self,
         request: InboundRequest,
         upstream: Upstream,
-        options: Sending,
-    ) -> Sent:
+        options: SendOptions,
+    ) -> SendResult:
         """Send a request and read its complete response."""
         return await self._with_connection(
             self._exchange, request, upstream, options
@@ -128,25 +128,25 @@
         self,
         request: InboundRequest,
         upstream: Upstream,
-        options: Sending,
+        options: SendOptions,
         sink: EventSink,
-    ) -> Sent:
+    ) -> SendResult:
         """Send a request and write its events to ``sink`` as they arrive."""
         transfer = functools.partial(self._stream, sink=sink)
         return await self._with_connection(transfer, request, upstream, options)
 
     async def _with_connection(
         self,
-        transfer: Callable[..., Awaitable[Sent]],
+        transfer: Callable[..., Awaitable[SendResult]],
         request: InboundRequest,
         upstream: Upstream,
-        options: Sending,
-    ) -> Sent:
+        options: SendOptions,
+    ) -> SendResult:
         connection = await self._connect(upstream, options.seconds)
         if connection is None:
-            return Sent(Outcome.UNREACHABLE)
+            return SendResult(Outcome.UNREACHABLE)
         try:
-            sent = Sent(Outcome.UNREACHABLE)
+            sent = SendResult(Outcome.UNREACHABLE)
             if _should_send(request):
                 sent = await transfer(connection, request, upstream, options)
         except BaseException:
@@ -171,7 +171,7 @@
     async def _dispose(
         self,
         connection: UpstreamConnection,
-        sent: Sent,
+        sent: SendResult,
     ) -> None:
         if sent.outcome in _CONNECTION_UNUSABLE_AFTER:
             await connection.close()
@@ -183,7 +183,7 @@
         connection: UpstreamConnection,
         request: InboundRequest,
         upstream: Upstream,
-        options: Sending,
+        options: SendOptions,
     ) -> ResponseHead:
         call = self._wire.call_of(request, upstream, options)
         await connection.send(call, request.remaining_timeout())
@@ -204,17 +204,17 @@
         connection: UpstreamConnection,
         request: InboundRequest,
         upstream: Upstream,
-        options: Sending,
-    ) -> Sent:
+        options: SendOptions,
+    ) -> SendResult:
         try:
             head = await self._exchange_head(
                 connection, request, upstream, options
             )
             body = await connection.body(request.remaining_timeout())
         except TimeoutError:
-            return Sent(Outcome.TIMED_OUT)
+            return SendResult(Outcome.TIMED_OUT)
         except ConnectionLost:
-            return Sent(Outcome.LOST)
+            return SendResult(Outcome.LOST)
         return self._classify(head, body, request)
 
     def _classify(
@@ -222,25 +222,25 @@
         head: ResponseHead,
         body: bytes,
         request: InboundRequest,
-    ) -> Sent:
+    ) -> SendResult:
         verdict = self._wire.verdict(head, request)
         response = Response(head.status, end_to_end(head.lines), body)
         if verdict is Verdict.SUCCESS:
-            return Sent(Outcome.DONE, response)
+            return SendResult(Outcome.DONE, response)
         if verdict is Verdict.NOT_RUN:
-            return Sent(Outcome.NOT_RUN)
+            return SendResult(Outcome.NOT_RUN)
         if verdict is Verdict.FAILURE:
-            return Sent(Outcome.FAILED, response)
-        return Sent(Outcome.BROKEN)
+            return SendResult(Outcome.FAILED, response)
+        return SendResult(Outcome.BROKEN)
 
     async def _stream(
         self,
         connection: UpstreamConnection,
         request: InboundRequest,
         upstream: Upstream,
-        options: Sending,
+        options: SendOptions,
         sink: EventSink,
-    ) -> Sent:
+    ) -> SendResult:
         started_at = clock.now()
         outcome = Outcome.DONE
         try:
@@ -261,7 +261,7 @@
             if sink.first_event_at
             else 0
         )
-        return Sent(outcome, first_event=first_event)
+        return SendResult(outcome, first_event=first_event)
 
     async def _forward_events(
         self,
@@ -363,10 +363,10 @@
         return True
     if outcome in {Outcome.DONE, Outcome.TIMED_OUT}:
         return False
-    return request.route.repeat is not Repeat.ONCE
+    return request.route.repeat is not RepeatPolicy.ONCE
 
 
-def failure(outcome: Outcome) -> ServingError:
+def error_for_outcome(outcome: Outcome) -> ServingError:
     """Return the error to report for an ``outcome`` without a response."""
     if outcome is Outcome.TIMED_OUT:
         return ServingError(
--- a/flamingovalve/platform/decode.py
+++ b/flamingovalve/platform/decode.py
@@ -29,10 +29,10 @@
 _MS_PER_SECOND = 1000.0
 
 _REPEAT = {
-    ('idempotent', False): model.Repeat.ANY,
-    ('non_idempotent', False): model.Repeat.ONCE,
-    ('streaming', False): model.Repeat.ONCE,
-    ('streaming', True): model.Repeat.RESUMABLE,
+    ('idempotent', False): model.RepeatPolicy.ANY,
+    ('non_idempotent', False): model.RepeatPolicy.ONCE,
+    ('streaming', False): model.RepeatPolicy.ONCE,
+    ('streaming', True): model.RepeatPolicy.RESUMABLE,
 }
 
 
@@ -146,9 +146,9 @@
             )
             for share in shares
         ),
-        most_upstreams=max(1, _whole(raw.get('MaxAttempts', 1))),
+        max_upstreams=max(1, _whole(raw.get('MaxAttempts', 1))),
         streams=kind == 'streaming',
-        longest_pause=_seconds(raw.get('GapTargetMs') or 0),
+        max_event_gap=_seconds(raw.get('GapTargetMs') or 0),
         is_public=raw.get('Public') is True,
     )
 
--- a/flamingovalve/platform/upstreams.py
+++ b/flamingovalve/platform/upstreams.py
@@ -18,7 +18,7 @@
     from flamingovalve.gateway.inbound import InboundRequest
     from flamingovalve.gateway.model import Upstream
     from flamingovalve.gateway.orders import Order
-    from flamingovalve.gateway.relay import Sending
+    from flamingovalve.gateway.relay import SendOptions
     from flamingovalve.http.client import ConnectionPool, ResponseHead
 
 logger = get_logger(__name__)
@@ -42,10 +42,10 @@
         self,
         request: InboundRequest,
         upstream: Upstream,
-        sending: Sending,
+        options: SendOptions,
     ) -> UpstreamCall:
         """Build the call that passes a request on to an upstream."""
-        budget = max(1, int(sending.seconds * _MS_PER_SECOND))
+        budget = max(1, int(options.seconds * _MS_PER_SECOND))
         headers = [
             *request.headers,
             ('Time-Budget-Ms', str(budget)),
@@ -53,18 +53,18 @@
         ]
         if request.workspace:
             headers.append(('Tenant', request.workspace))
-        if sending.priority is not None:
-            urgency = min(sending.priority, _MOST_PRIORITY)
+        if options.priority is not None:
+            urgency = min(options.priority, _MOST_PRIORITY)
             headers.append(('Request-Priority', str(urgency)))
-        if sending.version:
-            headers.append(('Expect-Version', str(sending.version)))
-        if sending.resume_after:
+        if options.version:
+            headers.append(('Expect-Version', str(options.version)))
+        if options.resume_after:
             headers = [
                 (name, text)
                 for name, text in headers
                 if name.lower() != _RESUME
             ]
-            headers.append(('Last-Event-Id', sending.resume_after))
+            headers.append(('Last-Event-Id', options.resume_after))
         host = request.route.host
         return UpstreamCall(
             request.method,
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -6,7 +6,7 @@
 
 from flamingovalve.errors import ErrorKind, ServingError
 from flamingovalve.gateway.inbound import InboundRequest
-from flamingovalve.gateway.model import Repeat, Route
+from flamingovalve.gateway.model import RepeatPolicy, Route
 from flamingovalve.gateway.quarantine import CrashQuarantine
 from flamingovalve.gateway.relay import Outcome
 from flamingovalve.generated.ids import RequestId
@@ -14,7 +14,7 @@
 from tests.rig.timeline import TimedTestCase
 
 SECONDS = 600.0
-ROUTE = Route('r', 'host', '/r/', Repeat.RESUMABLE, 5, 1, 0, (), 2, True)
+ROUTE = Route('r', 'host', '/r/', RepeatPolicy.RESUMABLE, 5, 1, 0, (), 2, True)
 
 
 def request(number: int = 0, body: bytes = b'deadly') -> InboundRequest:
--- a/tests/test_sending.py
+++ b/tests/test_sending.py
@@ -6,8 +6,8 @@
 
 from flamingovalve.errors import ConnectionLost
 from flamingovalve.gateway.inbound import InboundRequest
-from flamingovalve.gateway.model import Repeat, Route
-from flamingovalve.gateway.relay import Outcome, Sending, UpstreamRelay
+from flamingovalve.gateway.model import RepeatPolicy, Route
+from flamingovalve.gateway.relay import Outcome, SendOptions, UpstreamRelay
 from flamingovalve.generated.ids import RequestId
 from tests.rig.engines import upstream
 from tests.rig.timeline import TimedTestCase
@@ -54,7 +54,16 @@
     def request(self, **changes):
         """Return a request with a deadline in one second."""
         route = Route(
-            'status', 'host', '/', Repeat.ANY, 1, 0.1, 0, (), 2, streams=False
+            'status',
+            'host',
+            '/',
+            RepeatPolicy.ANY,
+            1,
+            0.1,
+            0,
+            (),
+            2,
+            streams=False,
         )
         inbound = InboundRequest(
             RequestId('one'),
@@ -78,7 +87,7 @@
             relay.exchange,
             request,
             upstream('one'),
-            Sending(request.remaining()),
+            SendOptions(request.remaining()),
         )
 
     def test_deadline_that_passes_while_a_connection_opens(self):
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -11,7 +11,7 @@
 from flamingovalve.gateway import dispatch, shards
 from flamingovalve.gateway.catalogue import Catalogue
 from flamingovalve.gateway.place_finder import PlaceFinder
-from flamingovalve.gateway.places import OwnerSilent
+from flamingovalve.gateway.places import OwnerUnavailable
 from flamingovalve.gateway.popularity import Popularity
 from flamingovalve.generated.ids import GroupId, ServiceId, VmId
 from tests.rig.engines import ask, hold, ledger, upstream
@@ -136,7 +136,7 @@
         """Grant, decline or fail to answer."""
         self.asked.append((request.group, request.may_decline))
         if owner in self.silent:
-            raise OwnerSilent('no answer')
+            raise OwnerUnavailable('no answer')
         if request.may_decline and request.group in self.waits:
             raise ServingError(
                 ErrorKind.NO_GOOD_PLACE,
@@ -153,7 +153,7 @@
     service = SERVICE
     tried: tuple[str, ...] = ()
 
-    def until_late(self) -> float:
+    def until_target_latency(self) -> float:
         """Return the seconds until it is late."""
         return 1.0
 
@@ -161,7 +161,7 @@
         """Return the remaining seconds."""
         return 5.0
 
-    until_first_event = remaining
+    first_event_timeout = remaining
 
 
 class NoPlaces:
