--- a/flamingovalve/config/__init__.py
+++ b/flamingovalve/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings and the published inventory."""
+"""Daemon settings and the published inventory."""
--- a/flamingovalve/config/adapters.py
+++ b/flamingovalve/config/adapters.py
@@ -1,4 +1,4 @@
-"""A compact table of adapters: tens of bytes for each, not kilobytes."""
+"""A compact table of adapters that takes tens of bytes for each."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AdapterRecord:
-    """What the inventory says of one adapter."""
+    """The inventory entry of one adapter."""
 
     id: AdapterId
     model: ModelId
@@ -26,19 +26,19 @@
 
 
 class Interner:
-    """Gives equal values one small number."""
+    """Stores equal values once and identifies them by index."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an interner without values."""
         self.entries: list[Hashable] = []
-        self._number_by_entry: dict[Hashable, int] = {}
+        self._index_by_entry: dict[Hashable, int] = {}
 
-    def number(self, entry: Hashable) -> int:
-        """Give the number of ``entry``, a new one if it is new."""
-        known = self._number_by_entry.get(entry)
+    def intern(self, entry: Hashable) -> int:
+        """Return the index of ``entry``, adding the entry if it is new."""
+        known = self._index_by_entry.get(entry)
         if known is None:
             known = len(self.entries)
-            self._number_by_entry[entry] = known
+            self._index_by_entry[entry] = known
             self.entries.append(entry)
         return known
 
@@ -46,59 +46,60 @@
 class AdapterTable:
     """Adapters sorted by id, in arrays and one string of bytes.
 
-    A dict of dataclasses costs about a kilobyte an adapter; 100,000 of them
-    would take three times the memory that a VM may spend on control. Most
-    adapters share their model, versions and applications, so these are kept
-    once and named by number.
+    A dict of dataclasses takes about a kilobyte per adapter; 100,000
+    adapters would take three times the memory budget of a VM for control
+    data. Most adapters share their model, versions and applications, so
+    each combination of these is stored once and referred to by index.
     """
 
     def __init__(
         self,
-        facts: list[Hashable],
-        named: Iterable[tuple[bytes, int]],
+        attributes: list[Hashable],
+        indexed_names: Iterable[tuple[bytes, int]],
     ) -> None:
         """Build the table.
 
-        :param facts: what adapters share
-        :param named: unique names in order, each with the number of its
-            facts
+        :param attributes: combinations of model, versions, current version
+            and applications
+        :param indexed_names: unique names in ascending order, each with the
+            index of its combination in ``attributes``
         """
-        self._facts = facts
+        self._attributes = attributes
         self._starts = array('I', [0])
-        self._numbers = array('I')
+        self._attribute_indexes = array('I')
         names = bytearray()
-        for name, number in named:
+        for name, index in indexed_names:
             names += name
             self._starts.append(len(names))
-            self._numbers.append(number)
+            self._attribute_indexes.append(index)
         self._names = bytes(names)
 
     def __len__(self) -> int:
-        """Count the adapters."""
-        return len(self._numbers)
+        """Return the number of adapters."""
+        return len(self._attribute_indexes)
 
     def __iter__(self) -> Iterator[AdapterRecord]:
-        """Give every adapter in the order of ids."""
+        """Yield every adapter in ascending order of id."""
         yield from map(self._record, range(len(self)))
 
     def find(self, adapter_id: str) -> AdapterRecord | None:
-        """Give the adapter of that id, if there is one."""
-        wanted = adapter_id.encode()
-        if not self._covers(wanted):
+        """Return the adapter with this id, or None."""
+        encoded_id = adapter_id.encode()
+        if not self._covers(encoded_id):
             return None
         low, high = 0, len(self)
         while low < high:
             middle = (low + high) // 2
-            if self._name(middle) < wanted:
+            if self._name(middle) < encoded_id:
                 low = middle + 1
             else:
                 high = middle
-        if low == len(self) or self._name(low) != wanted:
+        if low == len(self) or self._name(low) != encoded_id:
             return None
         return self._record(low)
 
     def names(self) -> Iterator[bytes]:
-        """Give every name in order."""
+        """Yield every adapter id, encoded, in ascending order."""
         yield from map(self._name, range(len(self)))
 
     def _covers(self, name: bytes) -> bool:
@@ -110,8 +111,8 @@
         return self._names[self._starts[index] : self._starts[index + 1]]
 
     def _record(self, index: int) -> AdapterRecord:
-        facts = self._facts[self._numbers[index]]
-        model, versions, current, applications = facts  # type: ignore[misc]
+        attributes = self._attributes[self._attribute_indexes[index]]
+        model, versions, current, applications = attributes  # type: ignore[misc]
         return AdapterRecord(
             AdapterId(self._name(index).decode()),
             model,
@@ -122,35 +123,36 @@
 
 
 class AdapterCatalog:
-    """The tables of all pages; pages that did not change are shared.
+    """Looks adapters up in one table per inventory page.
 
-    One page changes at a time, thousands of times a day. Building one table
-    of 100,000 adapters for each change would hold up every request.
+    Tables of unchanged pages are reused. Pages change one at a time,
+    thousands of times a day, and rebuilding a single table of 100,000
+    adapters for each change would delay every request.
     """
 
     def __init__(self, tables: list[AdapterTable]) -> None:
-        """Look adapters up in ``tables``."""
+        """Create a catalogue of the non-empty ``tables``."""
         self._tables = [table for table in tables if len(table)]
 
     def __len__(self) -> int:
-        """Count the adapters."""
+        """Return the number of adapters."""
         return sum(map(len, self._tables))
 
     def __iter__(self) -> Iterator[AdapterRecord]:
-        """Give every adapter."""
+        """Yield every adapter, table by table."""
         for table in self._tables:
             yield from table
 
     def find(self, adapter_id: str) -> AdapterRecord | None:
-        """Give the adapter of that id, if there is one."""
+        """Return the adapter with this id, or None."""
         for table in self._tables:
             record = table.find(adapter_id)
             if record is not None:
                 return record
         return None
 
-    def repeated(self) -> list[str]:
-        """Give the names that stand in more than one table."""
+    def duplicate_ids(self) -> list[str]:
+        """Return the adapter ids that occur in more than one table."""
         seen: set[bytes] = set()
         found = []
         for table in self._tables:
@@ -161,31 +163,38 @@
 
 
 class AdapterTableBuilder:
-    """Takes adapters page by page, in little more memory than the table."""
+    """Builds a table from adapters that are added one by one.
+
+    Takes little more memory than the table itself.
+    """
 
     def __init__(self) -> None:
-        """Start without adapters."""
-        self._facts = Interner()
-        self._numbers_by_name: dict[bytes, int] = {}
+        """Create a builder without adapters."""
+        self._attributes = Interner()
+        self._index_by_name: dict[bytes, int] = {}
 
     def __contains__(self, adapter_id: str) -> bool:
-        """Tell whether an adapter of that id was added."""
-        return adapter_id.encode() in self._numbers_by_name
+        """Return whether an adapter with this id was added."""
+        return adapter_id.encode() in self._index_by_name
 
     def add(self, adapter: Adapter) -> bool:
-        """Add an adapter; tell whether its facts are new."""
-        known = len(self._facts.entries)
-        number = self._facts.number(_facts_of(adapter))
-        self._numbers_by_name[adapter.id.encode()] = number
-        return number == known
+        """Add an adapter.
+
+        :returns: whether no earlier adapter has the same model, versions,
+            current version and applications
+        """
+        next_index = len(self._attributes.entries)
+        index = self._attributes.intern(_shared_attributes_of(adapter))
+        self._index_by_name[adapter.id.encode()] = index
+        return index == next_index
 
     def build(self) -> AdapterTable:
-        """Give the table."""
-        named = sorted(self._numbers_by_name.items())
-        return AdapterTable(self._facts.entries, named)
+        """Return a table of all adapters added so far."""
+        indexed_names = sorted(self._index_by_name.items())
+        return AdapterTable(self._attributes.entries, indexed_names)
 
 
-def _facts_of(adapter: Adapter) -> Hashable:
+def _shared_attributes_of(adapter: Adapter) -> Hashable:
     return (
         adapter.model,
         tuple(adapter.versions),
--- a/flamingovalve/config/checker.py
+++ b/flamingovalve/config/checker.py
@@ -1,4 +1,4 @@
-"""Reads untyped values into generated dataclasses and lists every fault."""
+"""Converts untyped values to generated dataclasses and lists faults."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
     """Build a ``kind`` from a mapping of field names to values.
 
     :param kind: a generated dataclass
-    :param raw: the mapping, from INI (texts) or JSON (typed values)
-    :param place: where the mapping stands, for messages
-    :returns: the value, or every fault found in it
+    :param raw: the mapping, from INI (strings) or JSON (typed values)
+    :param place: location of the mapping, for fault messages
+    :returns: the dataclass instance, or every fault found
     """
     reader = StructReader(place)
     built = reader.read(kind, raw, place)
@@ -40,28 +40,28 @@
 
 
 class StructReader:
-    """Collects the faults met while values are read."""
+    """Converts values and collects the faults found."""
 
     def __init__(self, place: str) -> None:
-        """Start without a fault at ``place``."""
+        """Create a reader for the mapping at ``place``."""
         self.place = place
         self.faults: list[Fault] = []
 
     def read(self, kind: type[Any], raw: object, place: str) -> Any:
-        """Read ``raw`` as ``kind``; on a fault give the default."""
+        """Convert ``raw`` to ``kind``; return a default on a fault."""
         if dataclasses.is_dataclass(kind):
             return self._read_dataclass(kind, raw, place)
         if get_origin(kind) is list:
             return self._read_list(get_args(kind)[0], raw, place)
-        plain = getattr(kind, '__supertype__', kind)
-        if isinstance(plain, type) and issubclass(plain, Enum):
-            return self._read_enum(plain, raw, place)
-        return self._read_scalar(plain, raw, place)
+        base_type = getattr(kind, '__supertype__', kind)
+        if isinstance(base_type, type) and issubclass(base_type, Enum):
+            return self._read_enum(base_type, raw, place)
+        return self._read_scalar(base_type, raw, place)
 
     def _read_dataclass(self, kind: Any, raw: object, place: str) -> Any:
         built = kind()
         if not isinstance(raw, dict):
-            self._fault(place, 'is not an object', 'write one here')
+            self._add_fault(place, 'is not an object', 'use an object')
             return built
         hints = _hints(kind)
         known = {entry.name: entry for entry in dataclasses.fields(kind)}
@@ -69,11 +69,11 @@
             inner = f'{place}.{name}'
             if name not in known:
                 names = ', '.join(sorted(known))
-                self._fault(inner, 'is not known', f'use one of {names}')
+                self._add_fault(inner, 'is unknown', f'use one of {names}')
                 continue
-            faults = len(self.faults)
+            faults_before = len(self.faults)
             setattr(built, name, self.read(hints[name], found, inner))
-            if len(self.faults) == faults:
+            if len(self.faults) == faults_before:
                 self._check_range(known[name], getattr(built, name), inner)
         return built
 
@@ -81,7 +81,7 @@
         if isinstance(raw, str):
             raw = [part.strip() for part in raw.split(',') if part.strip()]
         if not isinstance(raw, list):
-            self._fault(place, 'is not a list', 'write a list here')
+            self._add_fault(place, 'is not a list', 'use a list')
             return []
         return [
             self.read(kind, entry, f'{place}[{index}]')
@@ -93,7 +93,9 @@
             if member.value == raw:
                 return member
         labels = ', '.join(member.value for member in kind)
-        self._fault(place, f'{raw!r} is not allowed', f'use one of {labels}')
+        self._add_fault(
+            place, f'{raw!r} is not allowed', f'use one of {labels}'
+        )
         return next(iter(kind))
 
     def _read_scalar(self, kind: type, raw: object, place: str) -> Any:
@@ -105,12 +107,14 @@
             try:
                 return kind(raw)  # type: ignore[arg-type]
             except (TypeError, ValueError):
-                self._fault(place, f'{raw!r} is no number', 'write a number')
+                self._add_fault(
+                    place, f'{raw!r} is not a number', 'use a number'
+                )
                 return kind()
-        self._fault(
+        self._add_fault(
             place,
             f'{raw!r} is not of type {kind.__name__}',
-            f'write a {kind.__name__}',
+            f'use a value of type {kind.__name__}',
         )
         return kind()
 
@@ -119,7 +123,7 @@
             return raw
         word = str(raw).lower()
         if word not in _TRUE_WORDS | _FALSE_WORDS:
-            self._fault(place, f'{raw!r} is not yes or no', 'write yes or no')
+            self._add_fault(place, f'{raw!r} is not a boolean', 'use yes or no')
         return word in _TRUE_WORDS
 
     def _check_range(self, entry: Any, found: Any, place: str) -> None:
@@ -128,11 +132,11 @@
         if low is None or low <= found <= high:
             return
         unit = entry.metadata.get('unit', '')
-        self._fault(
+        self._add_fault(
             place,
             f'{found} is out of range',
             f'use {low:g} to {high:g} {unit}'.rstrip(),
         )
 
-    def _fault(self, place: str, problem: str, remedy: str) -> None:
+    def _add_fault(self, place: str, problem: str, remedy: str) -> None:
         self.faults.append(Fault(place, problem, remedy))
--- a/flamingovalve/config/inventory.py
+++ b/flamingovalve/config/inventory.py
@@ -1,4 +1,4 @@
-"""One whole, checked version of the inventory."""
+"""The validated inventory and the parsers of its parts."""
 
 from __future__ import annotations
 
@@ -52,13 +52,13 @@
 
     @property
     def name(self) -> str:
-        """Give the name under which engines hold it."""
+        """Name under which engines load the adapter."""
         return f'{self.adapter}@{self.version}'
 
 
 @dataclass
 class Inventory:
-    """Everything that operators publish, by its ids."""
+    """One version of everything that operators publish, by id."""
 
     version: int = 0
     applications_by_id: dict[ApplicationId, Application] = field(
@@ -79,14 +79,14 @@
         version: int,
         pages: Iterable[Page],
     ) -> Result[Inventory, list[Fault]]:
-        """Join pages into one version, or give every fault found."""
+        """Build a version from its pages, or return every fault found."""
         builder = InventoryBuilder(version)
         for page in pages:
             builder.add(CompactPage(page))
         return builder.build()
 
     def authorise(self, credential: str) -> Result[Application, ServingError]:
-        """Give the application that ``credential`` proves.
+        """Return the application that ``credential`` authenticates.
 
         :param credential: ``APPLICATION`` or ``APPLICATION:SECRET``
         """
@@ -94,8 +94,11 @@
         application = self.applications_by_id.get(ApplicationId(name))
         if application is None:
             return Error(_unknown_application(name))
-        wanted = application.secret_sha256
-        if wanted and hashlib.sha256(secret.encode()).hexdigest() != wanted:
+        expected_sha256 = application.secret_sha256
+        if (
+            expected_sha256
+            and hashlib.sha256(secret.encode()).hexdigest() != expected_sha256
+        ):
             return Error(_unknown_application(name))
         return Ok(application)
 
@@ -104,7 +107,7 @@
         model: str,
         application: Application,
     ) -> Result[Target, ServingError]:
-        """Give the adapter version that ``application`` asks for.
+        """Return the adapter version that ``application`` requests.
 
         :param model: ``ADAPTER@VERSION`` or ``ADAPTER``
         """
@@ -125,7 +128,7 @@
         call_id: str,
         application: Application,
     ) -> Result[tuple[Service, ServiceCall], ServingError]:
-        """Give a call of a plain service that ``application`` may make."""
+        """Return a call of a plain service if ``application`` may make it."""
         service = self.services_by_id.get(ServiceId(service_id))
         if service is None:
             return Error(_unknown_service(service_id))
@@ -139,14 +142,15 @@
 
 
 class CompactPage:
-    """One page, checked as far as it can be alone, in little memory.
+    """One page in compact form, with the checks that need no other page.
 
-    :ivar samples: one adapter for each combination of model, versions and
-        applications; the others like it share its faults
+    :ivar samples: one adapter for each combination of model, versions,
+        current version and applications; adapters with the same combination
+        have the same faults, so only the samples are checked
     """
 
     def __init__(self, page: Page) -> None:
-        """Keep what ``page`` says."""
+        """Compact ``page`` and check the names of its adapters."""
         self.applications = page.applications
         self.engines = page.engines
         self.services = page.services
@@ -166,23 +170,23 @@
     ) -> None:
         place = f'adapter {adapter.id!r}'
         if adapter.id in builder:
-            self.faults.append(_stands_twice(place))
+            self.faults.append(_duplicate(place))
         if not adapter.id or '@' in adapter.id:
-            remedy = "name it without '@'"
-            self.faults.append(Fault(place, 'is no valid name', remedy))
+            remedy = "use a non-empty name without '@'"
+            self.faults.append(Fault(place, 'is not a valid name', remedy))
 
 
 class InventoryBuilder:
-    """Joins pages and checks what spans them."""
+    """Builds an inventory from pages and checks references between them."""
 
     def __init__(self, version: int) -> None:
-        """Build version ``version``."""
+        """Create a builder of inventory version ``version``."""
         self._faults: list[Fault] = []
         self._pages: list[CompactPage] = []
         self._inventory = Inventory(version)
 
     def add(self, page: CompactPage) -> None:
-        """Take the content of one page."""
+        """Add the content of one page."""
         inventory = self._inventory
         self._index(page.applications, inventory.applications_by_id)
         self._index(page.engines, inventory.engines_by_id)
@@ -191,10 +195,10 @@
         self._pages.append(page)
 
     def build(self) -> Result[Inventory, list[Fault]]:
-        """Give the inventory, or the faults that forbid it."""
+        """Return the inventory, or every fault found in its pages."""
         catalog = AdapterCatalog([page.adapters for page in self._pages])
         self._faults.extend(
-            _stands_twice(f'adapter {name!r}') for name in catalog.repeated()
+            _duplicate(f'adapter {name!r}') for name in catalog.duplicate_ids()
         )
         for engine in self._inventory.engines_by_id.values():
             self._check_address(f'engine {engine.id!r}', engine.address)
@@ -214,7 +218,7 @@
         for entry in entries:
             if entry.id in by_id:
                 place = f'{type(entry).__name__.lower()} {entry.id!r}'
-                self._faults.append(_stands_twice(place))
+                self._faults.append(_duplicate(place))
             by_id[entry.id] = entry
 
     def _check_service(self, service: Service) -> None:
@@ -222,56 +226,58 @@
         for address in service.addresses:
             self._check_address(place, address)
         if not service.addresses:
-            self._fault(place, 'has no address', 'name its replicas')
+            self._add_fault(
+                place, 'has no address', 'list the addresses of its replicas'
+            )
         self._check_applications(place, service.applications)
 
     def _check_adapter(self, adapter: Adapter) -> None:
         place = f'adapter {adapter.id!r}'
         if adapter.current not in adapter.versions:
-            self._fault(
+            self._add_fault(
                 place,
                 f'current version {adapter.current!r} is not among versions',
                 'add it to versions or make another one current',
             )
         if adapter.model not in self._inventory.engine_ids_by_model:
-            self._fault(
+            self._add_fault(
                 place,
                 f'no engine runs its model {adapter.model!r}',
-                'add an engine or mend the model name',
+                'add an engine or correct the model name',
             )
         self._check_applications(place, adapter.applications)
 
     def _check_applications(self, place: str, names: list[str]) -> None:
         for name in names:
             if name not in self._inventory.applications_by_id:
-                self._fault(
+                self._add_fault(
                     place,
-                    f'names the unknown application {name!r}',
-                    'add the application or drop the name',
+                    f'refers to the unknown application {name!r}',
+                    'add the application or remove the reference',
                 )
 
     def _check_address(self, place: str, address: str) -> None:
         try:
             split_address(address)
         except ValueError as bad:
-            self._fault(place, str(bad), 'write IP:port')
+            self._add_fault(place, str(bad), 'use IP:port')
 
-    def _fault(self, place: str, problem: str, remedy: str) -> None:
+    def _add_fault(self, place: str, problem: str, remedy: str) -> None:
         self._faults.append(Fault(place, problem, remedy))
 
 
 def parse_manifest(content: bytes) -> Result[Manifest, list[Fault]]:
-    """Read the manifest."""
+    """Parse the manifest."""
     return _parse(Manifest, content, MANIFEST_KEY)
 
 
 def parse_page(content: bytes, key: str) -> Result[Page, list[Fault]]:
-    """Read the page that stands at ``key``."""
+    """Parse the page published at ``key``."""
     return _parse(Page, content, key)
 
 
 def parse_vm_list(content: bytes) -> Result[VmList, list[Fault]]:
-    """Read the published list of VMs."""
+    """Parse the published list of VMs."""
     return _parse(VmList, content, VM_LIST_KEY)
 
 
@@ -283,27 +289,35 @@
     try:
         raw = json.loads(content)
     except (ValueError, RecursionError) as bad:
-        return Error([Fault(place, f'is not JSON ({bad})', 'export it anew')])
+        return Error([Fault(place, f'is not JSON ({bad})', 'export it again')])
     outcome = read_struct(kind, raw, place)
-    if outcome.is_ok() and kind is not Page and not _number(outcome.ok):
-        return Error([Fault(place, 'has no number', 'number it from 1')])
+    if outcome.is_ok() and kind is not Page and not _version_number(outcome.ok):
+        return Error(
+            [
+                Fault(
+                    place,
+                    'has no version or revision number',
+                    'number it from 1',
+                )
+            ]
+        )
     return outcome
 
 
-def _number(parsed: Manifest | VmList) -> int:
+def _version_number(parsed: Manifest | VmList) -> int:
     if isinstance(parsed, Manifest):
         return parsed.version
     return parsed.revision
 
 
-def _stands_twice(place: str) -> Fault:
-    return Fault(place, 'stands twice', 'keep one of them')
+def _duplicate(place: str) -> Fault:
+    return Fault(place, 'is defined more than once', 'keep one definition')
 
 
 def _unknown_application(name: str) -> ServingError:
     return ServingError(
         ErrorKind.UNKNOWN_APPLICATION,
-        f'application {name!r} is not known or its secret is wrong; send '
+        f'application {name!r} is unknown or its secret is wrong; send '
         "'Authorization: Bearer APPLICATION:SECRET' as in the inventory",
     )
 
@@ -335,5 +349,5 @@
 def _unknown_service(name: str) -> ServingError:
     return ServingError(
         ErrorKind.UNKNOWN_SERVICE,
-        f'no service call {name!r} in the inventory; check the name',
+        f'service call {name!r} is not in the inventory; check the name',
     )
--- a/flamingovalve/config/keeper.py
+++ b/flamingovalve/config/keeper.py
@@ -1,8 +1,9 @@
 """Keeps the newest accepted inventory and VM list of this VM.
 
-A version is accepted whole or not at all, and never a lower one than
-before. A few VMs of each failure domain watch the service; all others, and
-those whose service is down or stale, learn from peers.
+A version is accepted completely or not at all, and never after a higher
+one. A few VMs of each failure domain watch the configuration service. All
+others, and watchers whose service is down or stale, fetch updates from
+peers.
 """
 
 from __future__ import annotations
@@ -52,16 +53,16 @@
 
 logger = get_logger(__name__)
 
-# Digest and zlib-compressed content of one value.
+# SHA-256 in hex and zlib-compressed content of one value.
 StoredPage = tuple[str, bytes]
 
 _STARTUP_PEERS: Final = 3
-_LONGEST_RETRY_FACTOR: Final = 16
+_MAX_BACKOFF_FACTOR: Final = 16
 
 
 @dataclass
 class KeeperCounts:
-    """What happened to the configuration since this process started."""
+    """Counters of configuration updates since this process started."""
 
     accepted: int = 0
     refused: int = 0
@@ -75,7 +76,7 @@
     """A published value cannot be accepted.
 
     :ivar faults: every fault found
-    :ivar transient: reading again may give something else
+    :ivar transient: whether a later read may return a valid value
     """
 
     def __init__(
@@ -84,14 +85,14 @@
         *,
         transient: bool = False,
     ) -> None:
-        """Name the faults."""
+        """Summarise the first five faults in the message."""
         super().__init__('; '.join(str(fault) for fault in faults[:5]))
         self.faults = faults
         self.transient = transient
 
 
 class ConfigurationKeeper:
-    """The accepted configuration of one VM and how it is renewed."""
+    """Holds the accepted configuration of one VM and updates it."""
 
     def __init__(
         self,
@@ -99,9 +100,9 @@
         service: ConfigurationService,
         peers: PeerPool,
         members: MemberTable,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Renew from ``service`` and ``peers``."""
+        """Create a keeper that reads from ``service`` and ``peers``."""
         self.inventory = Inventory()
         self.vm_list: VmList | None = None
         self.counts = KeeperCounts()
@@ -111,45 +112,45 @@
         self._service = service
         self._peers = peers
         self._members = members
-        self._chance = chance
+        self._rng = rng
         self._stored_by_key: dict[str, tuple[str, bytes]] = {}
         self._compact_by_sha256: dict[str, CompactPage] = {}
         self._refused_digests: set[str] = set()
-        self._fetching = curio.Lock()
+        self._fetch_lock = curio.Lock()
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether an inventory and a list have been accepted."""
+        """Whether an inventory and a VM list have been accepted."""
         return self.inventory.version > 0 and self.vm_list is not None
 
     @property
     def is_busy(self) -> bool:
-        """Tell whether something is being fetched at the moment."""
-        return self._fetching.locked()
+        """Whether an update is being fetched or checked."""
+        return self._fetch_lock.locked()
 
     def own_rumour(self) -> VersionRumour:
-        """Give the rumour that states what we hold."""
+        """Return the rumour that announces the versions held by this VM."""
         revision = self.vm_list.revision if self.vm_list else 0
         own_id = VmId(self._settings.vm.id)
         return VersionRumour(own_id, self.inventory.version, revision)
 
     def answer(self, ask: ConfigurationAsk) -> ConfigurationReply:
-        """Answer a peer that asks for a value."""
+        """Answer a peer's request for a value."""
         stored = self._stored_by_key.get(ask.key)
         if stored is None or ask.sha256 not in {'', stored[0]}:
             return ConfigurationReply(False)
         return ConfigurationReply(True, stored[1])
 
     async def start(self) -> None:
-        """Learn the first configuration.
+        """Fetch the initial configuration.
 
-        Peers are asked before the service is believed: a service that lost
-        its newest version while this VM was away would otherwise turn a
-        restart into a step back.
+        Peers are asked for the inventory before the service: if the service
+        lost its newest version while this VM was down, a restart would
+        otherwise revert to an older one.
         """
         while not self.is_ready:
-            await self._learn_list()
-            await self._learn_inventory()
+            await self._fetch_vm_list()
+            await self._fetch_inventory()
             if not self.is_ready:
                 await self._pause(1)
 
@@ -171,19 +172,19 @@
                 failures = 0
 
     async def _watch_once(self, key: str, revision: int) -> int:
-        """Wait for a change and take it; give the revision to watch from."""
+        """Wait for a change, accept it, and return the revision to watch."""
         published = await self._service.watch(key, revision)
         if published is None:
             return revision
         origin = ServiceOrigin(self._service)
-        if await self._try(self._take(key, published.content, origin)):
+        if await self._attempt(self._accept(key, published.content, origin)):
             return published.revision
-        # A page may have been missing or stale: read again.
+        # A page may have been missing or stale, so the key is read again.
         await self._pause(1)
         return 0
 
     def is_watcher(self) -> bool:
-        """Tell whether this VM watches the service for its domain."""
+        """Return whether this VM watches the service for its domain."""
         own = self._members.by_id.get(self._members.own_id)
         if own is None:
             return True
@@ -198,16 +199,16 @@
         return own.vm.id in chosen or not names
 
     async def apply_rumour(self, rumour: VersionRumour) -> None:
-        """Fetch from the VM that holds something newer."""
+        """Fetch updates from the VM that announced newer versions."""
         member = self._members.by_id.get(rumour.vm)
         if member is None or not self.is_behind(rumour):
             return
         address = member.vm.peer_address
         origin = PeerOrigin(self._peers, address, rumour.vm)
-        await self._try(self._fetch_newer(rumour, origin))
+        await self._attempt(self._fetch_newer(rumour, origin))
 
     def is_behind(self, rumour: VersionRumour) -> bool:
-        """Tell whether another VM holds something newer than we do."""
+        """Return whether a rumour announces versions newer than ours."""
         own = self.own_rumour()
         newer_list = rumour.list_revision > own.list_revision
         return rumour.version > own.version or newer_list
@@ -220,26 +221,26 @@
         own = self.own_rumour()
         if rumour.list_revision > own.list_revision:
             content = await origin.read(VM_LIST_KEY, '')
-            await self._take(VM_LIST_KEY, content, origin)
+            await self._accept(VM_LIST_KEY, content, origin)
         if rumour.version > own.version:
             content = await origin.read(MANIFEST_KEY, '')
-            await self._take(MANIFEST_KEY, content, origin)
+            await self._accept(MANIFEST_KEY, content, origin)
 
-    async def _learn_list(self) -> None:
+    async def _fetch_vm_list(self) -> None:
         origin = ServiceOrigin(self._service)
-        await self._try(self._read_and_take(VM_LIST_KEY, origin))
+        await self._attempt(self._read_and_accept(VM_LIST_KEY, origin))
         for seed in self._settings.fleet.seeds:
             peer = PeerOrigin(self._peers, seed, VmId(''))
-            await self._try(self._read_and_take(VM_LIST_KEY, peer))
+            await self._attempt(self._read_and_accept(VM_LIST_KEY, peer))
 
-    async def _learn_inventory(self) -> None:
+    async def _fetch_inventory(self) -> None:
         origins: list[Origin] = [
             PeerOrigin(self._peers, address, VmId(''))
             for address in self._startup_peers()
         ]
         origins.append(ServiceOrigin(self._service))
         for origin in origins:
-            await self._try(self._read_and_take(MANIFEST_KEY, origin))
+            await self._attempt(self._read_and_accept(MANIFEST_KEY, origin))
 
     def _startup_peers(self) -> list[str]:
         addresses = [
@@ -248,38 +249,38 @@
         count = min(_STARTUP_PEERS, len(addresses))
         return [
             *self._settings.fleet.seeds,
-            *self._chance.sample(addresses, count),
+            *self._rng.sample(addresses, count),
         ]
 
-    async def _read_and_take(self, key: str, origin: Origin) -> None:
+    async def _read_and_accept(self, key: str, origin: Origin) -> None:
         content = await origin.read(key, '')
-        await self._take(key, content, origin)
+        await self._accept(key, content, origin)
 
-    async def _try(self, work: Awaitable[None]) -> bool:
+    async def _attempt(self, work: Awaitable[None]) -> bool:
         try:
             await work
             return True
         except ServiceUnavailable as failed:
             self.counts.failed_fetches += 1
-            logger.debug('no configuration: {}', failed)
+            logger.debug('configuration not fetched: {}', failed)
         except InvalidConfiguration as refused:
             self.counts.refused += 1
             self.faults = refused.faults
             logger.warning('configuration refused: {}', refused)
         return False
 
-    async def _take(self, key: str, content: bytes, origin: Origin) -> None:
-        async with self._fetching:
+    async def _accept(self, key: str, content: bytes, origin: Origin) -> None:
+        async with self._fetch_lock:
             if key == VM_LIST_KEY:
-                changed = self._take_list(content)
+                changed = self._accept_vm_list(content)
             else:
-                changed = await self._take_manifest(content, origin)
+                changed = await self._accept_manifest(content, origin)
         if changed:
             for listener in self.accepted_listeners:
                 await listener()
 
-    def _take_list(self, content: bytes) -> bool:
-        published = _accepted(parse_vm_list(content))
+    def _accept_vm_list(self, content: bytes) -> bool:
+        published = _unwrap(parse_vm_list(content))
         known = self.vm_list.revision if self.vm_list else 0
         if published.revision <= known:
             self.counts.older += published.revision < known
@@ -288,8 +289,8 @@
         self._store(VM_LIST_KEY, content)
         return True
 
-    async def _take_manifest(self, content: bytes, origin: Origin) -> bool:
-        manifest = _accepted(parse_manifest(content))
+    async def _accept_manifest(self, content: bytes, origin: Origin) -> bool:
+        manifest = _unwrap(parse_manifest(content))
         if manifest.version <= self.inventory.version:
             self.counts.older += manifest.version < self.inventory.version
             return False
@@ -300,19 +301,19 @@
             stored = await self._fetch_pages(manifest, origin)
             inventory = await self._build(manifest, stored)
         except InvalidConfiguration as refused:
-            # Not fetched again until something else is published.
+            # Not fetched again until another manifest is published.
             self._refused_digests = set() if refused.transient else {digest}
             raise
         self._stored_by_key = stored | {
-            key: kept
-            for key, kept in self._stored_by_key.items()
+            key: page
+            for key, page in self._stored_by_key.items()
             if key == VM_LIST_KEY
         }
         self._store(MANIFEST_KEY, content)
         self.inventory = inventory
         self.faults = []
         self.counts.accepted += 1
-        logger.info('inventory version {} is in force', manifest.version)
+        logger.info('inventory version {} accepted', manifest.version)
         return True
 
     async def _build(
@@ -320,20 +321,20 @@
         manifest: Manifest,
         stored: dict[str, StoredPage],
     ) -> Inventory:
-        """Join the pages; those that did not change are not read again."""
+        """Build the inventory; unchanged pages are not parsed again."""
         compact: dict[str, CompactPage] = {}
         builder = InventoryBuilder(manifest.version)
         for key, (sha256, compressed) in stored.items():
             page = self._compact_by_sha256.get(sha256)
             if page is None:
                 content = zlib.decompress(compressed)
-                page = CompactPage(_accepted(parse_page(content, key)))
-                # Reading a page takes as long as dozens of requests; they
-                # get their turn before the next one.
+                page = CompactPage(_unwrap(parse_page(content, key)))
+                # Parsing a page takes as long as dozens of requests, so
+                # waiting requests run before the next page is parsed.
                 await curio.sleep(0)
             compact[sha256] = page
             builder.add(page)
-        inventory: Inventory = _accepted(builder.build())
+        inventory: Inventory = _unwrap(builder.build())
         self._compact_by_sha256 = compact
         return inventory
 
@@ -342,7 +343,7 @@
         manifest: Manifest,
         origin: Origin,
     ) -> dict[str, StoredPage]:
-        """Give every page of a version; those unchanged are not read again."""
+        """Return every page of a version; unchanged ones are not fetched."""
         stored: dict[str, StoredPage] = {}
         for reference in manifest.pages:
             known = self._stored_by_key.get(reference.key)
@@ -361,24 +362,24 @@
         else:
             self.counts.pages_from_peers += 1
         content = await origin.read(reference.key, reference.sha256)
-        page = _compressed(content)
+        page = _compress(content)
         if page[0] != reference.sha256:
-            fault = _wrong_digest(reference)
+            fault = _digest_mismatch(reference)
             raise InvalidConfiguration([fault], transient=True)
         return page
 
     def _store(self, key: str, content: bytes) -> None:
-        self._stored_by_key[key] = _compressed(content)
+        self._stored_by_key[key] = _compress(content)
 
     async def _pause(self, failures: int) -> None:
         base = self._settings.configuration.retry_seconds
-        factor = min(2 ** (failures - 1), _LONGEST_RETRY_FACTOR)
-        await curio.sleep(base * factor * self._chance.uniform(0.5, 1))
+        factor = min(2 ** (failures - 1), _MAX_BACKOFF_FACTOR)
+        await curio.sleep(base * factor * self._rng.uniform(0.5, 1))
 
 
-def _compressed(content: bytes) -> StoredPage:
-    # Kept so that peers can be answered; compressed, because the pages of
-    # 100,000 adapters would not fit the memory budget otherwise.
+def _compress(content: bytes) -> StoredPage:
+    # Values are stored to answer peers. They are compressed because the
+    # pages of 100,000 adapters would otherwise exceed the memory budget.
     return _digest(content), zlib.compress(content)
 
 
@@ -386,15 +387,15 @@
     return hashlib.sha256(content).hexdigest()
 
 
-def _accepted(outcome: Any) -> Any:
+def _unwrap(outcome: Any) -> Any:
     if outcome.is_error():
         raise InvalidConfiguration(outcome.error)
     return outcome.ok
 
 
-def _wrong_digest(reference: PageReference) -> Fault:
+def _digest_mismatch(reference: PageReference) -> Fault:
     return Fault(
         reference.key,
-        'does not have the digest that the manifest names',
+        'does not match its digest in the manifest',
         'publish pages before the manifest, and never change a page in place',
     )
--- a/flamingovalve/config/origins.py
+++ b/flamingovalve/config/origins.py
@@ -1,4 +1,4 @@
-"""Where configuration values are read from: the service or another VM."""
+"""Sources of configuration values: the service or another VM."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     from flamingovalve.generated.ids import VmId
     from flamingovalve.peer.client import PeerPool
 
-_PEER_SECONDS: Final = 3.0
+_PEER_TIMEOUT_SECONDS: Final = 3.0
 
 
 class Origin:
-    """Where values are read from: the service or one peer."""
+    """A source of configuration values."""
 
     name = ''
 
     async def read(self, key: str, sha256: str) -> bytes:
-        """Give the value at ``key``.
+        """Return the value at ``key``.
 
-        :param sha256: digest of the page that is wanted; empty for any
-        :raises ServiceUnavailable: when there is none to be had
+        :param sha256: expected digest, in hex; empty for any value
+        :raises ServiceUnavailable: when no value can be read
         """
         raise NotImplementedError
 
@@ -41,11 +41,11 @@
     name = 'service'
 
     def __init__(self, service: ConfigurationService) -> None:
-        """Read from ``service``."""
+        """Create an origin that reads from ``service``."""
         self._service = service
 
     async def read(self, key: str, sha256: str) -> bytes:
-        """Give the value at ``key``."""
+        """Return the value at ``key``; the digest is ignored."""
         published = await self._service.read(key)
         return published.content
 
@@ -56,23 +56,23 @@
     name = 'peer'
 
     def __init__(self, peers: PeerPool, address: str, vm: VmId) -> None:
-        """Read from the VM at ``address``."""
+        """Create an origin that reads from the VM at ``address``."""
         self._peers = peers
         self._address = address
         self._vm = vm
 
     async def read(self, key: str, sha256: str) -> bytes:
-        """Give the value that the VM holds at ``key``."""
+        """Return the value that the VM holds at ``key``."""
         ask = ConfigurationAsk(key, sha256)
         try:
             _incarnation, reply = await self._peers.ask(
                 self._address,
                 self._vm,
                 ask,
-                _PEER_SECONDS,
+                _PEER_TIMEOUT_SECONDS,
             )
         except (PeerUnreachable, ConnectionLost, WrongPeer) as failed:
             raise ServiceUnavailable(str(failed)) from failed
         if not isinstance(reply, ConfigurationReply) or not reply.found:
-            raise ServiceUnavailable(f'{self._vm} holds no {key}')
+            raise ServiceUnavailable(f'VM {self._vm} does not hold {key}')
         return zlib.decompress(reply.content)
--- a/flamingovalve/config/service.py
+++ b/flamingovalve/config/service.py
@@ -1,4 +1,4 @@
-"""Reads and watches the configuration service."""
+"""Client of the configuration service."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
     from flamingovalve.generated.settings import ConfigurationSettings
     from flamingovalve.http.client import ConnectionPool
 
-_OK = 200
-_UNCHANGED = 304
+_STATUS_OK = 200
+_STATUS_NOT_MODIFIED = 304
 
 
 class ServiceUnavailable(Exception):
-    """The configuration service gave no usable answer."""
+    """The configuration service or a peer gave no usable answer."""
 
 
 @dataclass(slots=True)
 class Published:
-    """One value and the service's revision of it."""
+    """One value and its revision in the service."""
 
     content: bytes
     revision: int
 
 
 class ConfigurationService:
-    """Calls of the configuration service: only reads and watches."""
+    """Reads and watches values of the configuration service."""
 
     def __init__(
         self,
         pool: ConnectionPool,
         settings: ConfigurationSettings,
     ) -> None:
-        """Call the service at the address of ``settings``."""
+        """Create a client of the service that ``settings`` name."""
         self.calls = 0
         self.failures = 0
         self._pool = pool
@@ -45,7 +45,7 @@
     async def read(self, key: str) -> Published:
         """Read the value at ``key``.
 
-        :raises ServiceUnavailable: when there is none to be had
+        :raises ServiceUnavailable: when no value can be read
         """
         published = await self._get(f'/v1/keys/{key}', 0)
         if published is None:
@@ -55,7 +55,8 @@
     async def watch(self, key: str, revision: int) -> Published | None:
         """Wait for a revision of ``key`` other than ``revision``.
 
-        :returns: nothing when it did not change within the watch time
+        :returns: the new value, or None if the revision did not change
+            within ``watch_seconds``
         :raises ServiceUnavailable: when the service does not answer
         """
         wait = self._settings.watch_seconds
@@ -74,10 +75,12 @@
             self.failures += 1
             await self._pool.drop(self._settings.address)
             raise ServiceUnavailable(str(failed)) from failed
-        if response.status == _UNCHANGED:
+        if response.status == _STATUS_NOT_MODIFIED:
             return None
         revision = response.header('x-revision') or ''
-        if response.status != _OK or not revision.isdigit():
+        if response.status != _STATUS_OK or not revision.isdigit():
             self.failures += 1
-            raise ServiceUnavailable(f'{target} gave {response.status}')
+            raise ServiceUnavailable(
+                f'{target} returned status {response.status}'
+            )
         return Published(response.body, int(revision))
--- a/flamingovalve/config/settings.py
+++ b/flamingovalve/config/settings.py
@@ -16,7 +16,7 @@
     from pathlib import Path
 
 
-_SHORTEST_KEY = 16
+_MIN_KEY_CHARACTERS = 16
 
 
 def load_settings(path: Path) -> Result[Settings, list[Fault]]:
@@ -24,28 +24,28 @@
     try:
         text = path.read_text('utf-8')
     except (OSError, UnicodeDecodeError) as failed:
-        fault = Fault(str(path), str(failed), 'name a readable INI file')
+        fault = Fault(str(path), str(failed), 'use a readable INI file')
         return Error([fault])
     return parse_settings(text, str(path))
 
 
 def parse_settings(text: str, place: str) -> Result[Settings, list[Fault]]:
-    """Read settings from the text of an INI file.
+    """Parse settings from the text of an INI file.
 
-    :param text: the text
-    :param place: name of the file, for messages
+    :param text: content of the file
+    :param place: name of the file, for fault messages
     :returns: the settings, or every fault found
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text, place)
     except configparser.Error as bad:
-        return Error([Fault(place, str(bad), 'mend the INI syntax')])
+        return Error([Fault(place, str(bad), 'correct the INI syntax')])
     faults: list[Fault] = []
     settings = Settings()
     for section in parser.sections():
         _read_section(settings, section, dict(parser[section]), faults)
-    faults.extend(_missing(settings))
+    faults.extend(_validate(settings))
     return Error(faults) if faults else Ok(settings)
 
 
@@ -66,9 +66,9 @@
         faults.extend(outcome.error)
 
 
-def _missing(settings: Settings) -> list[Fault]:
+def _validate(settings: Settings) -> list[Fault]:
     faults = [
-        Fault(f'vm.{name}', 'is missing', 'name it')
+        Fault(f'vm.{name}', 'is missing', 'set it')
         for name in ('id', 'failure_domain')
         if not getattr(settings.vm, name)
     ]
@@ -83,13 +83,13 @@
         try:
             split_address(address)
         except ValueError as bad:
-            faults.append(Fault(place, str(bad), 'write IP:port'))
-    if len(settings.fleet.key_current) < _SHORTEST_KEY:
+            faults.append(Fault(place, str(bad), 'use IP:port'))
+    if len(settings.fleet.key_current) < _MIN_KEY_CHARACTERS:
         faults.append(
             Fault(
                 'fleet.key_current',
-                f'is shorter than {_SHORTEST_KEY} characters',
-                'write a long random key, the same on every VM',
+                f'is shorter than {_MIN_KEY_CHARACTERS} characters',
+                'use a long random key, the same on every VM',
             ),
         )
     return faults
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Settings, inventories, keys and tables: every fault with its remedy."""
+"""Validation of settings and inventory, and tests of small parsers."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Faults in the INI file."""
+    """Faults in the INI settings file."""
 
     def faults(self, text):
-        """Give every fault of a settings file that names its VM."""
+        """Return every fault in settings with a valid [vm] section."""
         head = '[vm]\nid = a\nfailure_domain = d\n'
         outcome = parse_settings(head + text, 'x.ini')
         return [str(fault) for fault in outcome.error]
@@ -54,7 +54,7 @@
 
 
 class InventoryTest(unittest.TestCase):
-    """Faults in what operators export."""
+    """Faults in an exported inventory."""
 
     def build(self, **page):
         """Build an inventory of one page."""
@@ -73,7 +73,7 @@
         outcome = self.build(adapters=[adapter, adapter])
         faults = [str(fault) for fault in outcome.error]
         for problem in (
-            'stands twice',
+            'is defined more than once',
             'is not among versions',
             'no engine runs its model',
             "unknown application 'nobody'",
@@ -128,7 +128,7 @@
 
 
 class HashingTest(unittest.TestCase):
-    """Rendezvous moves only what it must."""
+    """Rendezvous hashing is stable when a candidate is removed."""
 
     @given(st.sets(NAMES, min_size=2, max_size=12), NAMES)
     def test_a_loss_changes_no_other_place(self, candidates, key):
@@ -141,7 +141,7 @@
 
 
 class PermitTest(unittest.TestCase):
-    """Permits are made and read."""
+    """Creation and parsing of permits."""
 
     @given(NAMES.filter(lambda text: '|' not in text))
     def test_round_trip(self, scope):
@@ -160,7 +160,7 @@
 
 
 class EventsTest(unittest.TestCase):
-    """Streams are cut into whole events however they arrive."""
+    """Splitting of byte streams into whole events."""
 
     @given(st.lists(st.integers(1, 40), max_size=30), st.integers(1, 5))
     def test_any_cut_gives_the_same_events(self, cuts, count):
@@ -184,7 +184,7 @@
 
 
 class CodecTest(unittest.TestCase):
-    """Messages survive the way between two VMs."""
+    """Decoding of messages between VMs."""
 
     @given(st.binary(max_size=200))
     def test_no_bytes_crash_the_decoder(self, content):
