--- a/flamingovalve/cmd/__init__.py
+++ b/flamingovalve/cmd/__init__.py
@@ -1,1 +1,1 @@
-"""The two commands: the daemon and the command-line tool."""
+"""Entry points of the daemon and the command-line tool."""
--- a/flamingovalve/cmd/account.py
+++ b/flamingovalve/cmd/account.py
@@ -1,4 +1,4 @@
-"""The command that says where requests were lost, from log lines."""
+"""The subcommand that finds lost requests in log lines."""
 
 from __future__ import annotations
 
@@ -22,15 +22,16 @@
 EXIT_UNREADABLE = 1
 
 _STANDARD_INPUT = '-'
-# One request has some ten lines; a name that is none may stand in all.
-_MOST_LINES = 10_000
+# A request has about ten lines, but a value that is not a request id may
+# occur in every line.
+_MAX_REQUEST_LINES = 10_000
 
 
 @dataclass
 class Account:
-    """Say where requests were lost, from the log lines of any number of VMs.
+    """Report where requests were lost, from the log lines of several VMs.
 
-    Each log is taken for one VM's, named after the file.
+    Each file is read as the log of one VM, named after the file.
     """
 
     logs: Annotated[
@@ -39,15 +40,15 @@
     ] = field(default_factory=lambda: [_STANDARD_INPUT])
     request: Annotated[
         str,
-        cappa.Arg(long=True, help='print the way of this request only'),
+        cappa.Arg(long=True, help='print only the log lines of this request'),
     ] = ''
     plot: Annotated[
         str,
-        cappa.Arg(long=True, help='draw outcomes by second into this file'),
+        cappa.Arg(long=True, help='plot outcomes per second to this file'),
     ] = ''
 
     def __call__(self) -> None:
-        """Read the logs and print the tables."""
+        """Read the logs and print the summary or one request."""
         reader = LineReader()
         if self.request:
             self._print_request(reader)
@@ -60,43 +61,42 @@
             self._plot(summary)
 
     def _print_request(self, reader: LineReader) -> None:
-        found = [
+        request_lines = [
             line
             for log in self.logs
             for line in _lines_of(log, reader)
             if line.text('id') == self.request
         ]
-        if not found:
+        if not request_lines:
             raise cappa.Exit(
-                f'no line of {reader.counts.lines} holds the id '
-                f'{self.request!r}; give the logs of all VMs of that time',
+                f'none of {reader.counts.lines} lines has the request id '
+                f'{self.request!r}; pass the logs of all VMs for that time',
                 code=EXIT_UNREADABLE,
             )
-        print(request_text(found[:_MOST_LINES]))
+        print(request_text(request_lines[:_MAX_REQUEST_LINES]))
 
     def _plot(self, summary: Summary) -> None:
         try:
             plot(summary, self.plot)
         except ImportError as missing:
             raise cappa.Exit(
-                f'{missing}; install matplotlib to draw',
+                f'{missing}; install matplotlib to plot',
                 code=EXIT_UNREADABLE,
             ) from missing
         except (OSError, ValueError) as failed:
             raise cappa.Exit(
-                f'{self.plot}: {failed}; name a .png or .svg that can be '
-                'written',
+                f'{self.plot}: {failed}; use a writable .png or .svg file',
                 code=EXIT_UNREADABLE,
             ) from failed
 
 
 def _lines_of(log: str, reader: LineReader) -> Iterator[LogLine]:
-    with contextlib.ExitStack() as opened:
+    with contextlib.ExitStack() as stack:
         if log == _STANDARD_INPUT:
             name, source = 'standard input', sys.stdin
         else:
             name = Path(log).stem
-            source = opened.enter_context(_open(log))
+            source = stack.enter_context(_open(log))
         yield from reader.read(name, source)
 
 
@@ -105,6 +105,6 @@
         return Path(log).open(encoding='utf-8', errors='replace')
     except OSError as failed:
         raise cappa.Exit(
-            f'{log}: {failed.strerror}; name a readable file',
+            f'{log}: {failed.strerror}; use a readable file',
             code=EXIT_UNREADABLE,
         ) from failed
--- a/flamingovalve/cmd/boot.py
+++ b/flamingovalve/cmd/boot.py
@@ -1,8 +1,9 @@
-"""Opens the ports of a VM, then loads and runs its daemon.
+"""Opens the ports for callers, then imports and runs the daemon.
 
-Loading takes a third of a second on a small VM. When all VMs restart
-together, callers would find every port closed meanwhile and use up their
-retries; connections that wait in the backlog are served late instead.
+Importing takes a third of a second on a small VM. If all VMs restart
+together with closed ports, callers use up their retries during this time.
+With the ports open, connections wait in the backlog until the daemon
+accepts them.
 """
 
 from __future__ import annotations
@@ -17,36 +18,37 @@
 from flamingovalve.util.listeners import EarlyListeners
 
 SETTINGS_VARIABLE: Final = 'FLAMINGOVALVE_BOOT'
-_CALLERS_PORTS: Final = (
+_CALLER_ADDRESS_OPTIONS: Final = (
     ('vm', 'http_address'),
     ('platform', 'directory_address'),
 )
 
 
-def callers_addresses(path: Path) -> list[str]:
-    """Give the addresses at which the settings let callers connect.
+def caller_addresses(path: Path) -> list[str]:
+    """Return the addresses in the settings at which callers connect.
 
-    Settings that cannot be read give none; the daemon names their faults.
+    Returns none for settings that cannot be read; the daemon reports their
+    faults.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read(path, 'utf-8')
     except (configparser.Error, UnicodeDecodeError):
         return []
-    named = [
+    addresses = [
         parser.get(section, option, fallback='')
-        for section, option in _CALLERS_PORTS
+        for section, option in _CALLER_ADDRESS_OPTIONS
     ]
-    return [address for address in named if address]
+    return [address for address in addresses if address]
 
 
 def main() -> None:
-    """Run the daemon whose settings the environment names."""
+    """Run the daemon with the settings file from the environment."""
     began_at = clock.now()
     path = os.environ.get(SETTINGS_VARIABLE)
     if path is None:
         sys.exit(f'set {SETTINGS_VARIABLE} to the path of the settings file')
-    listeners = EarlyListeners.opened(callers_addresses(Path(path)))
+    listeners = EarlyListeners.opened(caller_addresses(Path(path)))
 
     from flamingovalve.cmd import service
 
--- a/flamingovalve/cmd/flamingovalve.py
+++ b/flamingovalve/cmd/flamingovalve.py
@@ -1,4 +1,4 @@
-"""The command-line tool of operators and callers."""
+"""The command-line tool for operators and callers."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 EXIT_UNREACHABLE = 3
 EXIT_REFUSED = 4
 
-_ANSWER_SECONDS = 120
+_RESPONSE_TIMEOUT_SECONDS = 120
 
-_DESCRIPTION = """Look after flamingovalve.
+_DESCRIPTION = """Inspect and operate flamingovalve.
 
-Exit status: 0 done, 1 faults found, 2 wrong usage, 3 the VM cannot be
-reached, 4 the VM refused.
+Exit status: 0 success, 1 faults found, 2 wrong usage, 3 the VM cannot be
+reached, 4 the VM refused the request.
 
 Examples:
   flamingovalve check vm-0.ini
@@ -59,15 +59,15 @@
 class Check:
     """Check a settings file (.ini) or an exported inventory (.json).
 
-    An inventory is named by its manifest; its pages are read from files
-    beside it, named as in the manifest with their last part only.
+    Pass the manifest to check an inventory. Each page is read from the
+    manifest's directory, from a file named after the last part of its key.
     """
 
-    path: Annotated[Path, cappa.Arg(help='the file')]
+    path: Annotated[Path, cappa.Arg(help='path of the file')]
     json: AsJson = False
 
     def __call__(self) -> None:
-        """Print every fault with its place and remedy."""
+        """Print every fault with its location and remedy."""
         faults = check_file(self.path)
         if self.json:
             listed = [vars(fault) for fault in faults]
@@ -83,20 +83,26 @@
 
 @dataclass
 class Entry:
-    """Ask a VM which addresses to use."""
+    """Ask a VM which addresses to send requests to."""
 
     address: Address
-    application: Annotated[str, cappa.Arg(long=True, help='who asks')]
+    application: Annotated[
+        str, cappa.Arg(long=True, help='id of the calling application')
+    ]
     model: Annotated[
         str,
         cappa.Arg(long=True, help='ADAPTER or ADAPTER@VERSION'),
     ] = ''
-    service: Annotated[str, cappa.Arg(long=True, help='a plain service')] = ''
-    call: Annotated[str, cappa.Arg(long=True, help='a call of it')] = ''
+    service: Annotated[
+        str, cappa.Arg(long=True, help='id of a plain service')
+    ] = ''
+    call: Annotated[
+        str, cappa.Arg(long=True, help='id of a call of that service')
+    ] = ''
     json: AsJson = False
 
     def __call__(self) -> None:
-        """Print the addresses, and the permit if there is one."""
+        """Print the addresses, and the permit if one was issued."""
         query = f'application={self.application}'
         if self.service:
             query = f'{query}&service={self.service}&call={self.call}'
@@ -125,11 +131,13 @@
         str,
         cappa.Arg(long=True, help='ADAPTER or ADAPTER@VERSION'),
     ]
-    application: Annotated[str, cappa.Arg(long=True, help='who asks')]
+    application: Annotated[
+        str, cappa.Arg(long=True, help='id of the calling application')
+    ]
     json: AsJson = False
 
     def __call__(self) -> None:
-        """Print the text, or the whole answer as JSON."""
+        """Print the text of the answer, or the whole answer as JSON."""
         content = {
             'model': self.model,
             'messages': [{'role': 'user', 'content': self.prompt}],
@@ -151,20 +159,20 @@
 
 @dataclass
 class State:
-    """Print the state of a VM's process."""
+    """Print the state of a VM."""
 
     address: Address
     json: AsJson = False
 
     def __call__(self) -> None:
-        """Print a table, or the whole dump as JSON."""
+        """Print tables, or the whole state dump as JSON."""
         state = ask_json(self.address, UpstreamCall('GET', '/state', []))
         print(json.dumps(state) if self.json else state_table(state))
 
 
 @dataclass
 class Drain:
-    """Have a VM leave the fleet once its work is done."""
+    """Drain a VM: finish the work in progress, then leave the fleet."""
 
     address: Address
     secret: Annotated[
@@ -173,7 +181,7 @@
     ]
 
     def __call__(self) -> None:
-        """Ask the VM to leave."""
+        """Ask the VM to drain."""
         headers = [('x-operator-secret', self.secret)]
         ask_json(self.address, UpstreamCall('POST', '/v1/drain', headers))
         print(f'{self.address} is leaving')
@@ -182,20 +190,20 @@
 @cappa.command(name='flamingovalve', description=_DESCRIPTION)
 @dataclass
 class Flamingovalve:
-    """Look after flamingovalve."""
+    """Inspect and operate flamingovalve."""
 
     command: cappa.Subcommands[Check | Entry | Send | State | Drain | Account]
 
 
 def check_file(path: Path) -> list[Fault]:
-    """Give every fault of a settings file or an exported inventory."""
+    """Return every fault of a settings file or an exported inventory."""
     if path.suffix == '.ini':
         outcome = load_settings(path)
         return outcome.error if outcome.is_error() else []
     try:
         content = path.read_bytes()
     except OSError as failed:
-        return [Fault(str(path), str(failed), 'name a readable file')]
+        return [Fault(str(path), str(failed), 'use a readable file')]
     if b'"vms"' in content:
         listed = parse_vm_list(content)
         return listed.error if listed.is_error() else []
@@ -217,8 +225,10 @@
             faults.append(fault)
             continue
         if hashlib.sha256(text).hexdigest() != reference.sha256:
-            remedy = 'write pages before the manifest'
-            faults.append(Fault(str(page_path), 'has another digest', remedy))
+            remedy = 'export the pages before the manifest'
+            faults.append(
+                Fault(str(page_path), 'does not match its digest', remedy)
+            )
         page = parse_page(text, str(page_path))
         if page.is_error():
             faults.extend(page.error)
@@ -231,7 +241,7 @@
 
 
 def ask_json(address: str, call: UpstreamCall) -> dict[str, Any]:
-    """Make one call and give its JSON answer, or end with its error."""
+    """Make one call and return its JSON answer, or exit with an error."""
     try:
         response = curio.run(_exchange, address, call)
     except (OSError, ConnectionLost, ValueError) as failed:
@@ -247,13 +257,15 @@
 
 async def _exchange(address: str, call: UpstreamCall) -> Response:
     pool = ConnectionPool(Network(), RelaySettings())
-    response = await pool.exchange(address, call, _ANSWER_SECONDS, fresh=True)
+    response = await pool.exchange(
+        address, call, _RESPONSE_TIMEOUT_SECONDS, fresh=True
+    )
     await pool.close()
     return response
 
 
 def main() -> None:
-    """Start from the command line."""
+    """Run the command line."""
     cappa.invoke(Flamingovalve, version=VERSION)
 
 
--- a/flamingovalve/cmd/flamingovalved.py
+++ b/flamingovalve/cmd/flamingovalved.py
@@ -1,4 +1,4 @@
-"""The daemon: one process on each entry VM."""
+"""The command that runs the daemon, one process on each entry VM."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from flamingovalve.config.settings import load_settings
 from flamingovalve.generated.settings import Settings
 
-_EXAMPLE = """Run one entry VM of flamingovalve.
+_DESCRIPTION = """Run the flamingovalve daemon on an entry VM.
 
 Example: flamingovalved /etc/flamingovalve.ini
 
-SIGTERM or SIGINT drains: the VM tells the others, takes no new work after
-fleet.leave_seconds, finishes what is in progress and ends with status 0.
-SIGHUP reads the [logging] section again. Faults in the settings end it
-with status 2.
+SIGTERM or SIGINT drains: the VM tells the others, accepts no new work after
+fleet.leave_seconds, finishes the requests in progress and exits with
+status 0. SIGHUP reloads the [logging] section. The daemon exits with
+status 2 if the settings have faults.
 """
 
 
 @dataclass
 class Arguments:
-    """Arguments of the daemon."""
+    """Command-line arguments of the daemon."""
 
-    settings: Annotated[Path, cappa.Arg(help='the INI settings file')]
+    settings: Annotated[Path, cappa.Arg(help='path of the INI settings file')]
 
 
 def read_settings(path: Path) -> Settings:
-    """Read the settings, or end with every fault on standard error."""
+    """Load the settings, or exit with every fault on standard error."""
     outcome = load_settings(path)
     if outcome.is_error():
         lines = '\n'.join(str(fault) for fault in outcome.error)
@@ -41,15 +41,15 @@
 
 
 def run(arguments: Arguments) -> None:
-    """Run the daemon as the arguments say."""
+    """Load the settings and run the daemon."""
     service.run(arguments.settings, read_settings(arguments.settings))
 
 
 def main() -> None:
-    """Start from the command line."""
+    """Run the command line."""
     command = cappa.command(
         name='flamingovalved',
-        description=_EXAMPLE,
+        description=_DESCRIPTION,
         invoke=run,
     )
     cappa.invoke(command(Arguments), version=VERSION)
--- a/flamingovalve/cmd/reference.py
+++ b/flamingovalve/cmd/reference.py
@@ -1,4 +1,4 @@
-"""Writes the metrics reference page."""
+"""Generates the metrics reference page."""
 
 from __future__ import annotations
 
--- a/flamingovalve/cmd/service.py
+++ b/flamingovalve/cmd/service.py
@@ -1,7 +1,7 @@
-"""Runs the daemon that a settings file describes.
+"""Builds and runs the daemon that a settings file describes.
 
-Leaves out the command line and its libraries, which on a VM would take memory
-and serve nobody.
+Does not import the command-line libraries, which a VM does not need and
+which would take memory.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     from flamingovalve.generated.settings import Settings
 
     class Leaving(Protocol):
-        """A daemon that can be asked to leave."""
+        """A daemon that can be drained."""
 
         async def run(self) -> None:
             """Serve until stopped."""
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """How this process began.
+    """State from the start of the process, before the daemon is built.
 
-    :ivar listeners: ports that are open already
-    :ivar began_at: when it began, on our clock
+    :ivar listeners: listening sockets that are already open
+    :ivar began_at: start of the process, in seconds of the local clock
     """
 
     listeners: EarlyListeners = field(default_factory=EarlyListeners)
@@ -55,7 +55,7 @@
 
 
 def build(settings: Settings, start: Start) -> Leaving:
-    """Build the daemon that ``settings`` describe."""
+    """Build the platform daemon if a store is set, else the plain one."""
     network = Network(start.listeners)
     if settings.platform.store:
         from flamingovalve.gateway.daemon import GatewayDaemon
@@ -78,43 +78,44 @@
 ) -> None:
     """Run the daemon until it has drained."""
     daemon = build(settings, start)
-    await curio.spawn(_obey_signals, daemon, path, output, daemon=True)
+    await curio.spawn(_handle_signals, daemon, path, output, daemon=True)
     await daemon.run()
 
 
-async def serve_and_end(
+async def serve_and_exit(
     path: Path,
     settings: Settings,
     output: LogOutput,
     start: Start,
 ) -> None:
-    """Run the daemon, then end the process without waiting for its tasks."""
+    """Run the daemon, then exit without waiting for its tasks."""
     await serve(path, settings, output, start)
-    end_process()
+    exit_process()
 
 
 def run(path: Path, settings: Settings, start: Start | None = None) -> None:
-    """Run the daemon of checked settings.
+    """Run the daemon with validated settings.
 
-    :param start: what was done before; none where the process begins here
+    :param start: state from the start of the process; None if the process
+        starts here
     """
     output = LogOutput()
     output.apply(settings.logging)
-    curio.run(serve_and_end, path, settings, output, start or Start())
+    curio.run(serve_and_exit, path, settings, output, start or Start())
 
 
-def end_process() -> None:
-    """End at once with what was written.
+def exit_process() -> None:
+    """Flush the output and exit immediately with status 0.
 
-    Tasks that wait for peers that are gone would hold the interpreter past
-    the time after which the platform kills it.
+    Tasks that wait for unreachable peers would otherwise keep the
+    interpreter running until the platform kills it.
     """
     sys.stdout.flush()
     sys.stderr.flush()
     os._exit(0)
 
 
-async def _obey_signals(
+async def _handle_signals(
     daemon: Leaving,
     path: Path,
     output: LogOutput,
@@ -122,22 +123,25 @@
     signals = SignalQueue((signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
     async for number in signals:
         if number is signal.SIGHUP:
-            _reload(path, output)
+            _reload_logging(path, output)
         else:
             await daemon.begin_leaving()
 
 
-def _reload(path: Path, output: LogOutput) -> None:
+def _reload_logging(path: Path, output: LogOutput) -> None:
     outcome = load_settings(path)
     if outcome.is_error():
-        logger.warning('settings not reloaded: {}', outcome.error[0])
+        logger.warning('log settings not reloaded: {}', outcome.error[0])
         return
     output.apply(outcome.ok.logging)
     logger.info('log settings reloaded')
 
 
 def main(path: Path, start: Start) -> None:
-    """Run the daemon of the settings file at ``path``."""
+    """Run the daemon with the settings file at ``path``.
+
+    Exits with status 2 and prints every fault if the settings have any.
+    """
     outcome = load_settings(path)
     if outcome.is_error():
         sys.stderr.write('\n'.join(map(str, outcome.error)))
--- a/flamingovalve/cmd/tables.py
+++ b/flamingovalve/cmd/tables.py
@@ -1,4 +1,4 @@
-"""Tables for people to read."""
+"""Plain-text tables for terminal output."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
     from collections.abc import Iterable, Sequence
 
 
-def table(head: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
-    """Give a table with columns as wide as their widest cell."""
-    cells = [list(head), *([str(cell) for cell in row] for row in rows)]
-    widths = [max(len(row[at]) for row in cells) for at in range(len(head))]
+def table(headings: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
+    """Return a table with columns as wide as their widest cell."""
+    cells = [list(headings), *([str(cell) for cell in row] for row in rows)]
+    widths = [
+        max(len(row[index]) for row in cells) for index in range(len(headings))
+    ]
     lines = [
         '  '.join(
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
@@ -22,7 +24,7 @@
 
 
 def state_table(state: dict[str, Any]) -> str:
-    """Give the state dump of a VM as tables."""
+    """Return the state dump of a VM as text with tables."""
     configuration = state['configuration']
     parts = [
         f'{state["vm"]} in {state["failure_domain"]}: '
@@ -46,7 +48,7 @@
             vm_id,
             member['state'],
             'yes' if member['present'] else 'no',
-            'direct' if member['direct_path'] else 'through others',
+            'direct' if member['direct_path'] else 'indirect',
         )
         for vm_id, member in state['members'].items()
     )
@@ -66,7 +68,7 @@
         )
         for engine_id, engine in state['engines'].items()
     )
-    head = (
+    headings = (
         'ENGINE',
         'STATE',
         'RUNNING',
@@ -75,4 +77,4 @@
         'LOADS',
         'STALL S',
     )
-    return table(head, rows)
+    return table(headings, rows)
--- a/tests/test_boot.py
+++ b/tests/test_boot.py
@@ -1,4 +1,4 @@
-"""A VM's ports are open before its daemon has loaded."""
+"""Ports of a VM are open before its daemon is imported."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 import curio
 
-from flamingovalve.cmd.boot import callers_addresses
+from flamingovalve.cmd.boot import caller_addresses
 from flamingovalve.util.listeners import EarlyListeners, split_address
 from flamingovalve.util.network import Network
 from tests.rig.addresses import free_address
 
 
 class TestEarlyListeners(unittest.TestCase):
-    """Callers that connect while a process starts."""
+    """Sockets opened before the daemon is imported."""
 
     def setUp(self) -> None:
-        """Open a port as a process does before its libraries load."""
+        """Open a port as a process does before it imports the daemon."""
         self.address = free_address()
         self.listeners = EarlyListeners.opened([self.address])
         self.addCleanup(self._close_rest)
@@ -30,7 +30,7 @@
             rest.close()
 
     def test_caller_that_connects_before_the_daemon_accepts_is_served(self):
-        """Guards against refused connections while a daemon loads."""
+        """Guards against refused connections while a daemon starts."""
         with socket.create_connection(split_address(self.address)) as caller:
             caller.sendall(b'early')
             received = curio.run(self._accept_and_read)
@@ -42,13 +42,16 @@
         async with listening, await network.accept(listening) as accepted:
             return await accepted.recv(16)
 
-    def test_address_in_use_is_left_to_the_daemon(self):
-        """Guards against a crash before faults can be told."""
+    def test_unusable_address_is_skipped(self):
+        """Guards against a crash before the daemon reports the fault.
+
+        One address is in use and one is invalid.
+        """
         twice = EarlyListeners.opened([self.address, 'no address'])
         self.assertIsNone(twice.take(self.address))
 
-    def test_socket_is_given_once(self):
-        """Guards against two tasks that accept on one socket."""
+    def test_socket_is_returned_once(self):
+        """Guards against two tasks accepting on one socket."""
         first = self.listeners.take(self.address)
         self.assertIsNotNone(first)
         first.close()
@@ -56,16 +59,16 @@
 
 
 class TestCallersAddresses(unittest.TestCase):
-    """Which ports the settings open to callers."""
+    """Addresses for callers in a settings file."""
 
     def addresses(self, text: str) -> list[str]:
-        """Give the addresses that settings of this text name."""
+        """Return the caller addresses in settings with this text."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'vm.ini'
             path.write_text(text, 'utf-8')
-            return callers_addresses(path)
+            return caller_addresses(path)
 
-    def test_ports_of_requests_and_lookups(self):
+    def test_http_and_directory_addresses(self):
         found = self.addresses(
             '[vm]\nhttp_address = 127.0.0.1:8149\n'
             '[platform]\ndirectory_address = 127.0.0.1:8143\n'
@@ -73,6 +76,6 @@
         self.assertEqual(found, ['127.0.0.1:8149', '127.0.0.1:8143'])
 
     def test_settings_that_cannot_be_read(self):
-        """Guards against a start that ends before it names the faults."""
+        """Guards against an exit before the daemon reports the faults."""
         self.assertEqual(self.addresses('no section'), [])
-        self.assertEqual(callers_addresses(Path('/nowhere/vm.ini')), [])
+        self.assertEqual(caller_addresses(Path('/nowhere/vm.ini')), [])
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The platform's settings template gives settings that the daemon takes."""
+"""The platform's settings template renders to valid settings."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 TEMPLATE = Path(__file__).parent.parent / 'deploy' / 'settings.ini'
 
-# The fields that the platform fills in, as its pages name them.
+# Fields that the platform fills in, under their documented names.
 FIELDS = {
     'Node': 'entry-1',
     'Ip': '10.1.0.38',
@@ -29,36 +29,39 @@
 }
 
 
-WITH = re.compile(r'\{\{#([\w.]+)\}\}\n(.*?)\{\{/\1\}\}\n', re.DOTALL)
-WITHOUT = re.compile(r'\{\{\^([\w.]+)\}\}\n(.*?)\{\{/\1\}\}\n', re.DOTALL)
-VALUE = re.compile(r'\{\{([\w.]+)\}\}')
+SECTION = re.compile(r'\{\{#([\w.]+)\}\}\n(.*?)\{\{/\1\}\}\n', re.DOTALL)
+INVERTED_SECTION = re.compile(
+    r'\{\{\^([\w.]+)\}\}\n(.*?)\{\{/\1\}\}\n', re.DOTALL
+)
+VARIABLE = re.compile(r'\{\{([\w.]+)\}\}')
 
 
-def rendered(fields: dict[str, str]) -> str:
-    """Fill in the template as the platform does."""
+def render(fields: dict[str, str]) -> str:
+    """Render the template as the platform does."""
     text = TEMPLATE.read_text('utf-8')
-    text = WITH.sub(lambda f: f[2] if f[1] in fields else '', text)
-    text = WITHOUT.sub(lambda f: '' if f[1] in fields else f[2], text)
-    return VALUE.sub(lambda f: fields.get(f[1], ''), text)
+    text = SECTION.sub(lambda f: f[2] if f[1] in fields else '', text)
+    text = INVERTED_SECTION.sub(lambda f: '' if f[1] in fields else f[2], text)
+    return VARIABLE.sub(lambda f: fields.get(f[1], ''), text)
 
 
 class TestTemplate(unittest.TestCase):
-    """What a process reads on the platform."""
+    """Settings rendered from the deployment template."""
 
     def test_settings_are_valid(self):
-        outcome = parse_settings(rendered(FIELDS), 'template')
+        outcome = parse_settings(render(FIELDS), 'template')
         self.assertTrue(outcome.is_ok(), outcome)
         settings = outcome.ok
         self.assertEqual(settings.gateway.lease_seconds, 3)
         self.assertEqual(settings.gateway.retry_slack, 104)
         self.assertEqual(len(settings.fleet.seeds), 2)
 
-    def test_bounds_that_are_not_in_force(self):
-        """A deployment does not name some bounds.
+    def test_fields_of_bounds_that_are_not_set(self):
+        """Guards against a setting without a value.
 
-        A setting without a value would keep the daemon from starting.
+        A deployment may leave bounds unset; an empty value would be a fault
+        that prevents the daemon from starting.
         """
         fields = {k: v for k, v in FIELDS.items() if 'Bounds' not in k}
-        outcome = parse_settings(rendered(fields), 'template')
+        outcome = parse_settings(render(fields), 'template')
         self.assertTrue(outcome.is_ok(), outcome)
         self.assertEqual(outcome.ok.gateway.retry_slack, 0)
