--- a/flamingovalve/schema/__init__.py
+++ b/flamingovalve/schema/__init__.py
@@ -1,1 +1,1 @@
-"""The schemas and the generator that reads them."""
+"""Cap'n Proto schemas and the code generator that reads them."""
--- a/flamingovalve/schema/generate.py
+++ b/flamingovalve/schema/generate.py
@@ -1,4 +1,4 @@
-"""Writes the typed Python code and the settings page from the schemas."""
+"""Generates typed Python code and the settings page from the schemas."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-HERE: Final = Path(__file__).parent
-GENERATED: Final = HERE.parent / 'generated'
-DOCS: Final = HERE.parent.parent / 'docs'
+SCHEMA_DIRECTORY: Final = Path(__file__).parent
+GENERATED_DIRECTORY: Final = SCHEMA_DIRECTORY.parent / 'generated'
+DOCS_DIRECTORY: Final = SCHEMA_DIRECTORY.parent.parent / 'docs'
 
 SCALARS: Final = {
     'bool': 'bool',
@@ -35,7 +35,7 @@
 
 '''
 
-IDS_HEAD: Final = '''"""Names and numbers that must not be mixed up, from both schemas."""
+IDS_HEAD: Final = '''"""Distinct types of names and numbers, generated from both schemas."""
 
 from typing import NewType
 
@@ -63,24 +63,24 @@
 
 
 def snake(name: str) -> str:
-    """Turn a Cap'n Proto name into a Python name."""
+    """Convert a camel-case Cap'n Proto name to snake case."""
     return re.sub('([A-Z])', r'_\1', name).lower()
 
 
 class Annotations:
-    """Reads the facts that the schema states about its fields."""
+    """Reads the annotations of schema nodes and fields."""
 
     def __init__(self) -> None:
-        """Learn the ids of the annotations."""
-        schema = (HERE / 'annotations.capnp').read_text('ascii')
+        """Load the names and ids of the annotations."""
+        schema = (SCHEMA_DIRECTORY / 'annotations.capnp').read_text('ascii')
         self._names = re.findall(r'annotation (\w+)\(', schema)
-        module = capnp.load(str(HERE / 'annotations.capnp'))
+        module = capnp.load(str(SCHEMA_DIRECTORY / 'annotations.capnp'))
         self._by_id = {
             node.id: node.name for node in module.schema.node.nestedNodes
         }
 
     def of(self, owner: Any) -> dict[str, Any]:
-        """Give the annotations of a node or a field by their name."""
+        """Return the annotations of a node or a field by name."""
         return {
             self._by_id[entry.id]: getattr(entry.value, entry.value.which())
             for entry in owner.annotations
@@ -89,7 +89,7 @@
 
 
 class Generator:
-    """Emits the Python form of one schema file."""
+    """Generates Python source from one schema file."""
 
     def __init__(self, path: Path) -> None:
         """Load the schema at ``path``."""
@@ -98,7 +98,10 @@
         self.names = [node.name for node in self.module.schema.node.nestedNodes]
 
     def nodes(self, kind: str) -> Iterator[tuple[str, Any]]:
-        """Give the name and schema of each struct or enum of the file."""
+        """Yield the name and schema of each node of one kind.
+
+        :param kind: ``struct`` or ``enum``
+        """
         for name in self.names:
             member = getattr(self.module, name)
             schema = getattr(member, 'schema', member)
@@ -106,7 +109,7 @@
                 yield name, schema
 
     def identifiers(self) -> dict[str, str]:
-        """Give the NewTypes of the file and the type that each wraps."""
+        """Return the type that each NewType of the file wraps, by name."""
         found: dict[str, str] = {}
         for _name, schema in self.nodes('struct'):
             for proto in self.plain_fields(schema):
@@ -116,7 +119,7 @@
         return found
 
     def plain_fields(self, schema: Any) -> list[Any]:
-        """Give the fields of a struct outside its union."""
+        """Return the fields of a struct outside its union."""
         return [
             proto
             for proto in schema.node.struct.fields
@@ -124,7 +127,7 @@
         ]
 
     def union_fields(self, schema: Any) -> list[Any]:
-        """Give the members of a struct's union, in order."""
+        """Return the members of a struct's union, ordered by discriminant."""
         members = [
             proto
             for proto in schema.node.struct.fields
@@ -133,7 +136,10 @@
         return sorted(members, key=lambda proto: proto.discriminantValue)
 
     def type_name(self, slot_type: Any) -> str:
-        """Give the schema name of a struct or enum type."""
+        """Return the schema name of a struct or enum type.
+
+        :raises LookupError: if this schema file does not define the type
+        """
         which = slot_type.which()
         wanted = getattr(slot_type, which).typeId
         for name in self.names:
@@ -143,12 +149,12 @@
         raise LookupError(f'type {wanted:x} is not in this schema file')
 
     def python_type(self, proto: Any) -> str:
-        """Give the Python type of a field."""
+        """Return the Python type of a field."""
         ident = self.annotations.of(proto).get('ident')
         return ident or self.slot_type(proto.slot.type)
 
     def slot_type(self, slot_type: Any) -> str:
-        """Give the Python type of a Cap'n Proto type."""
+        """Return the Python type of a Cap'n Proto type."""
         which = slot_type.which()
         if which in SCALARS:
             return SCALARS[which]
@@ -157,14 +163,14 @@
         return self.type_name(slot_type)
 
     def default(self, proto: Any) -> str:
-        """Give the default of a field as Python source."""
+        """Return the default of a field as Python source."""
         which = proto.slot.type.which()
         if which == 'list':
             return 'factory=list'
         if which == 'struct':
             return f'factory={self.type_name(proto.slot.type)}'
-        stated = proto.slot.defaultValue
-        raw = getattr(stated, stated.which())
+        default_value = proto.slot.defaultValue
+        raw = getattr(default_value, default_value.which())
         if which == 'enum':
             name = self.type_name(proto.slot.type)
             return f'{name}.{self.enum_labels(name)[raw].upper()}'
@@ -175,7 +181,7 @@
         return f'{ident}({source})' if ident else source
 
     def enum_labels(self, name: str) -> list[str]:
-        """Give the labels of an enum in the order of their numbers."""
+        """Return the labels of an enum, ordered by number."""
         member = getattr(self.module, name)
         schema = getattr(member, 'schema', member)
         return [
@@ -187,14 +193,14 @@
         ]
 
     def emit_imports(self) -> Iterator[str]:
-        """Write the import of the NewTypes that the file uses."""
+        """Yield the import of the NewTypes that the file uses."""
         yield 'from flamingovalve.generated.ids import (\n'
         for ident in sorted(self.identifiers()):
             yield f'    {ident},\n'
         yield ')\n'
 
     def emit_enums(self) -> Iterator[str]:
-        """Write the Enum states."""
+        """Yield an Enum class for each enum of the file."""
         for name, schema in self.nodes('enum'):
             doc = self.annotations.of(schema.node)['doc']
             yield f'\n\nclass {name}(Enum):\n    """{doc}"""\n\n'
@@ -202,7 +208,7 @@
                 yield f"    {label.upper()} = '{label}'\n"
 
     def emit_dataclass(self, name: str, schema: Any) -> Iterator[str]:
-        """Write one struct as a dataclass."""
+        """Yield one struct as a dataclass."""
         doc = self.annotations.of(schema.node).get('doc', '')
         yield '\n\n@dataclass(slots=True)\n'
         yield f'class {name}:\n    """{doc}'
@@ -224,28 +230,28 @@
             yield '        default_factory=Ping,\n    )\n'
 
     def describe(self, proto: Any) -> str:
-        """Give the one-line description of a field."""
-        facts = self.annotations.of(proto)
-        text = facts.get('doc', '')
-        if 'unit' in facts:
-            text = f'{text} In {facts["unit"]}.'.strip()
+        """Return the description of a field and its unit, on one line."""
+        annotations = self.annotations.of(proto)
+        text = annotations.get('doc', '')
+        if 'unit' in annotations:
+            text = f'{text} In {annotations["unit"]}.'.strip()
         return text
 
     def emit_field(self, proto: Any) -> str:
-        """Write one field of a dataclass with its unit and range."""
-        facts = self.annotations.of(proto)
-        keys = [key for key in ('unit', 'low', 'high') if key in facts]
-        metadata = ', '.join(f'{key!r}: {facts[key]!r}' for key in keys)
+        """Return one dataclass field with its unit and range."""
+        annotations = self.annotations.of(proto)
+        keys = [key for key in ('unit', 'low', 'high') if key in annotations]
+        metadata = ', '.join(f'{key!r}: {annotations[key]!r}' for key in keys)
         default = self.default(proto)
         prefix = 'default_' if default.startswith('factory') else 'default='
-        extra = f', metadata={{{metadata}}}' if metadata else ''
+        metadata_argument = f', metadata={{{metadata}}}' if metadata else ''
         return (
             f'    {snake(proto.name)}: {self.python_type(proto)} = '
-            f'field({prefix}{default}{extra})\n'
+            f'field({prefix}{default}{metadata_argument})\n'
         )
 
     def emit_codec(self, name: str, schema: Any) -> Iterator[str]:
-        """Write the reader and the writer of one struct."""
+        """Yield the writer and the reader of one struct."""
         fields = self.plain_fields(schema)
         union = self.union_fields(schema)
         yield f'\n\ndef write_{snake(name)[1:]}('
@@ -267,7 +273,7 @@
         yield '    )\n'
 
     def emit_write(self, proto: Any) -> Iterator[str]:
-        """Write the line that stores one field."""
+        """Yield the lines that write one field."""
         name = snake(proto.name)
         which = proto.slot.type.which()
         if which == 'enum':
@@ -286,7 +292,7 @@
             yield f'    builder.{proto.name} = message.{name}\n'
 
     def emit_read(self, proto: Any) -> str:
-        """Write the expression that reads one field."""
+        """Return the expression that reads one field."""
         which = proto.slot.type.which()
         source = f'reader.{proto.name}'
         if which == 'enum':
@@ -303,12 +309,12 @@
         return f'{ident}({source})' if ident else source
 
     def is_struct_list(self, proto: Any) -> bool:
-        """Tell whether a list field holds structs."""
+        """Return whether the elements of a list field are structs."""
         return proto.slot.type.list.elementType.which() == 'struct'
 
 
 def emit_ids(*generators: Generator) -> str:
-    """Give the source of ``generated/ids.py``."""
+    """Return the source of ``generated/ids.py``."""
     found: dict[str, str] = {}
     for generator in generators:
         found.update(generator.identifiers())
@@ -320,7 +326,7 @@
 
 
 def emit_settings(generator: Generator) -> str:
-    """Give the source of ``generated/settings.py``."""
+    """Return the source of ``generated/settings.py``."""
     parts = [SETTINGS_HEAD, *generator.emit_imports()]
     parts.extend(generator.emit_enums())
     sections = []
@@ -341,7 +347,7 @@
 
 
 def emit_messages(generator: Generator) -> str:
-    """Give the source of ``generated/messages.py``."""
+    """Return the source of ``generated/messages.py``."""
     parts = [MESSAGES_HEAD, *generator.emit_imports(), MESSAGES_SCHEMA]
     parts.extend(generator.emit_enums())
     unions = {}
@@ -361,7 +367,7 @@
     generator: Generator,
     unions: dict[str, Any],
 ) -> Iterator[str]:
-    """Write the tables from a message type to its union member."""
+    """Yield the tables of union members and of their codecs."""
     members = [
         (proto.name, generator.type_name(proto.slot.type))
         for schema in unions.values()
@@ -393,37 +399,39 @@
 
 def _emit_entry_points() -> Iterator[str]:
     yield '\n\ndef encode_frame(message: Any) -> bytes:\n'
-    yield '    """Give the bytes of one frame."""\n'
+    yield '    """Return the encoded bytes of one frame."""\n'
     yield '    builder = _SCHEMA.Frame.new_message()\n'
     yield '    write_rumour(builder, message)\n'
     yield '    return builder.to_bytes()\n'
     yield '\n\ndef decode_frame(content: bytes) -> Any:\n'
-    yield '    """Give the message of one frame."""\n'
+    yield '    """Return the message decoded from one frame."""\n'
     yield '    with _SCHEMA.Frame.from_bytes(content) as reader:\n'
     yield '        return read_rumour(reader)\n'
     yield '\n\ndef encode_datagram(message: Datagram) -> bytes:\n'
-    yield '    """Give the bytes of one datagram."""\n'
+    yield '    """Return the packed bytes of one datagram."""\n'
     yield '    builder = _SCHEMA.Datagram.new_message()\n'
     yield '    write_datagram(builder, message)\n'
     yield '    return builder.to_bytes_packed()\n'
     yield '\n\ndef decode_datagram(content: bytes) -> Datagram:\n'
-    yield '    """Give the message of one datagram."""\n'
+    yield '    """Return the message decoded from one datagram."""\n'
     yield '    reader = _SCHEMA.Datagram.from_bytes_packed(content)\n'
     yield '    return read_datagram(reader)\n'
 
 
 def emit_reference(generator: Generator) -> str:
-    """Give the settings reference page."""
+    """Return the settings reference page in Markdown."""
     parts = [
         '# Settings reference\n\n',
-        'Generated from `flamingovalve/schema/settings.capnp`. One INI file',
-        ' a daemon; a setting that is left out takes its default.\n',
+        'Generated from `flamingovalve/schema/settings.capnp`. Each',
+        ' daemon reads one INI file; omitted settings have their defaults.\n',
     ]
     for _name, schema in generator.nodes('struct'):
-        facts = generator.annotations.of(schema.node)
-        if 'section' not in facts:
+        annotations = generator.annotations.of(schema.node)
+        if 'section' not in annotations:
             continue
-        parts.append(f'\n## [{facts["section"]}]\n\n{facts["doc"]}\n\n')
+        parts.append(
+            f'\n## [{annotations["section"]}]\n\n{annotations["doc"]}\n\n'
+        )
         parts.append('| setting | default | unit | range | meaning |\n')
         parts.append('| --- | --- | --- | --- | --- |\n')
         parts.extend(
@@ -434,28 +442,28 @@
 
 
 def _reference_row(generator: Generator, proto: Any) -> str:
-    facts = generator.annotations.of(proto)
+    annotations = generator.annotations.of(proto)
     bounds = ''
-    if 'low' in facts:
-        bounds = f'{facts["low"]:g} to {facts["high"]:g}'
+    if 'low' in annotations:
+        bounds = f'{annotations["low"]:g} to {annotations["high"]:g}'
     default = generator.default(proto)
     default = re.sub(r"^\w+\('(.*)'\)$", r"'\1'", default)
     default = default.rsplit('.', 1)[-1] if default[0].isupper() else default
     return (
         f'| `{snake(proto.name)}` | `{default.lower()}` '
-        f'| {facts.get("unit", "")} | {bounds} | {facts["doc"]} |\n'
+        f'| {annotations.get("unit", "")} | {bounds} | {annotations["doc"]} |\n'
     )
 
 
 def main() -> None:
-    """Write every generated file."""
-    settings = Generator(HERE / 'settings.capnp')
-    messages = Generator(HERE / 'peer.capnp')
+    """Write the generated Python modules and the settings page."""
+    settings = Generator(SCHEMA_DIRECTORY / 'settings.capnp')
+    messages = Generator(SCHEMA_DIRECTORY / 'peer.capnp')
     outputs = {
-        GENERATED / 'ids.py': emit_ids(settings, messages),
-        GENERATED / 'settings.py': emit_settings(settings),
-        GENERATED / 'messages.py': emit_messages(messages),
-        DOCS / 'settings.md': emit_reference(settings),
+        GENERATED_DIRECTORY / 'ids.py': emit_ids(settings, messages),
+        GENERATED_DIRECTORY / 'settings.py': emit_settings(settings),
+        GENERATED_DIRECTORY / 'messages.py': emit_messages(messages),
+        DOCS_DIRECTORY / 'settings.md': emit_reference(settings),
     }
     for path, text in outputs.items():
         path.write_text(text, 'utf-8')
--- a/flamingovalve/schema/peer.capnp
+++ b/flamingovalve/schema/peer.capnp
@@ -4,22 +4,22 @@
 using import "annotations.capnp".unit;
 using import "annotations.capnp".ident;
 
-# ---- Shared parts ----
+# ---- Shared types ----
 
-enum MemberState $doc("What a VM believes of another.") {
+enum MemberState $doc("State of a VM as seen by another VM.") {
   alive @0;
   suspect @1;
   dead @2;
   leaving @3;
 }
 
-enum ClaimState $doc("What a holder knows of a claim key.") {
+enum ClaimState $doc("State of a claim key at a holder.") {
   absent @0 $doc("No record.");
-  claimed @1 $doc("An executor may have sent it upstream.");
+  claimed @1 $doc("An executor may have sent the request upstream.");
   finished @2 $doc("The answer is recorded.");
-  sealed @3 $doc("It can never run.");
-  unknown @4 $doc("It may have run; the outcome is lost.");
-  refused @5 $doc("The holder will not acknowledge this claim.");
+  sealed @3 $doc("The request can never run.");
+  unknown @4 $doc("The request may have run; the outcome is unknown.");
+  refused @5 $doc("The holder does not acknowledge this claim.");
 }
 
 struct Header $doc("One HTTP header.") {
@@ -27,36 +27,36 @@
   text @1 :Text;
 }
 
-# ---- Rumours, carried by membership datagrams ----
+# ---- Rumours, sent in membership datagrams ----
 
 struct MemberRumour $doc("The state of one VM.") {
   vm @0 :Text $ident("VmId");
   incarnation @1 :UInt64 $ident("Incarnation");
-  counter @2 :UInt32 $doc("Raised by the VM itself to refute a suspicion.");
+  counter @2 :UInt32 $doc("Incremented by the VM itself to refute a suspicion.");
   state @3 :MemberState;
-  domain @4 :Text $ident("DomainId") $doc("Its failure domain; empty where a published list says so.");
-  httpAddress @5 :Text $doc("Where callers connect to it; empty where a published list says so.");
-  cores @6 :Float64 $unit("cores") $doc("Processor time that it may use; 0 where it is not known.");
+  domain @4 :Text $ident("DomainId") $doc("Its failure domain; empty if the published list of VMs states it.");
+  httpAddress @5 :Text $doc("Address at which callers connect; empty if the published list of VMs states it.");
+  cores @6 :Float64 $unit("cores") $doc("Processor time that it may use; 0 if unknown.");
 }
 
-struct CatalogueRumour $doc("How new the published documents are that a VM holds.") {
+struct CatalogueRumour $doc("Revision of the published documents that a VM holds.") {
   vm @0 :Text $ident("VmId");
-  revision @1 :UInt64 $doc("Revision of the newest one that changed anything.");
+  revision @1 :UInt64 $doc("Revision of the newest document that made a change.");
 }
 
-struct WatchRumour $doc("Whether a VM reaches the store where documents are published.") {
+struct WatchRumour $doc("Whether a VM can reach the store of published documents.") {
   vm @0 :Text $ident("VmId");
   incarnation @1 :UInt64 $ident("Incarnation");
-  sequence @2 :UInt32 $doc("Raised by the VM with each change.");
-  lost @3 :Bool $doc("Whether the store does not answer it.");
+  sequence @2 :UInt32 $doc("Incremented by the VM with each change.");
+  lost @3 :Bool $doc("Whether the store does not answer the VM.");
 }
 
-struct OwnerRumour $doc("Which VM orders the engines of a group.") {
+struct OwnerRumour $doc("The VM that owns a group and sends orders to its engines.") {
   group @0 :Text $ident("GroupId");
   vm @1 :Text $ident("VmId");
   incarnation @2 :UInt64 $ident("Incarnation");
-  epoch @3 :UInt64 $doc("Raised with each new owner; the highest holds.");
-  provisional @4 :Bool $doc("Made without seeing most VMs; yields to any other of its epoch.");
+  epoch @3 :UInt64 $doc("Incremented with each new owner; the highest epoch is valid.");
+  provisional @4 :Bool $doc("Claimed while most VMs were not visible; any other claim of the same epoch takes precedence.");
 }
 
 struct VersionRumour $doc("The highest inventory version and VM list that a VM holds.") {
@@ -67,24 +67,24 @@
 
 struct PoisonRumour $doc("A request that was running when an engine crashed.") {
   fingerprint @0 :UInt64 $ident("Fingerprint");
-  crashes @1 :UInt32 $doc("Crashes at which it was the only suspect or present again.");
+  crashes @1 :UInt32 $doc("Crashes in which it was the only suspect or was running again.");
   remaining @2 :Float64 $unit("seconds") $doc("Time until the record expires.");
 }
 
 struct StoreRumour $doc("Use of the weight store by one VM.") {
   vm @0 :Text $ident("VmId");
   loading @1 :UInt32 $doc("Loads in flight.");
-  waiting @2 :UInt32 $doc("Loads wanted and not yet started.");
-  sequence @3 :UInt64 $doc("Raised with each change.");
+  waiting @2 :UInt32 $doc("Loads requested but not yet started.");
+  sequence @3 :UInt64 $doc("Incremented with each change.");
 }
 
 struct SpreadRumour $doc("How many engines a hot adapter may use.") {
   adapter @0 :Text $ident("AdapterId");
   engines @1 :UInt32;
-  sequence @2 :UInt64 $unit("milliseconds") $doc("Raised with each change.");
+  sequence @2 :UInt64 $unit("milliseconds") $doc("Incremented with each change.");
 }
 
-struct Rumour $doc("One piece of news.") {
+struct Rumour $doc("One update that VMs gossip.") {
   union {
     member @0 :MemberRumour;
     version @1 :VersionRumour;
@@ -99,13 +99,13 @@
 
 # ---- Membership datagrams ----
 
-struct Ping $doc("Asks a VM whether it is there.") {
+struct Ping $doc("Probes whether a VM responds.") {
   target @0 :Text $ident("VmId");
-  origin @1 :Text $ident("VmId") $doc("Who wants to know; differs from the sender in an indirect probe.");
-  probe @2 :UInt64 $doc("Number of the probe at its origin.");
+  origin @1 :Text $ident("VmId") $doc("VM that started the probe; differs from the sender in an indirect probe.");
+  probe @2 :UInt64 $doc("Sequence number of the probe at its origin.");
 }
 
-struct Ack $doc("Answers a ping, straight or by way of the VM that relayed it.") {
+struct Ack $doc("Answers a ping, directly or through the VM that relayed it.") {
   target @0 :Text $ident("VmId") $doc("The VM that answered.");
   origin @1 :Text $ident("VmId");
   probe @2 :UInt64;
@@ -119,7 +119,7 @@
 struct Datagram $doc("One membership message.") {
   sender @0 :Text $ident("VmId");
   incarnation @1 :UInt64 $ident("Incarnation");
-  sequence @2 :UInt64 $doc("Raised with each datagram; a repeat is refused.");
+  sequence @2 :UInt64 $doc("Incremented with each datagram; replayed numbers are rejected.");
   rumours @3 :List(Rumour);
   union {
     ping @4 :Ping;
@@ -130,17 +130,17 @@
 
 # ---- Frames on a TCP connection between two VMs ----
 
-struct Hello $doc("First frame of each side: who speaks and a fresh number.") {
+struct Hello $doc("First frame of each side: identity of the sender and a nonce.") {
   vm @0 :Text $ident("VmId");
   incarnation @1 :UInt64 $ident("Incarnation");
   nonce @2 :Data;
 }
 
-struct Heartbeat $doc("Says that the answer is still being worked on.") {
+struct Heartbeat $doc("Signals that the request is still being processed.") {
   sequence @0 :UInt32;
 }
 
-struct ForwardCompletion $doc("A completion, passed to the owner of its engine.") {
+struct ForwardCompletion $doc("A completion request, forwarded to the owner of its engine.") {
   requestId @0 :Text $ident("RequestId");
   application @1 :Text $ident("ApplicationId");
   priority @2 :Text;
@@ -152,12 +152,12 @@
   body @8 :Data;
   stream @9 :Bool;
   offset @10 :UInt32 $unit("events") $doc("Events of the answer that the caller already has.");
-  isolated @11 :Bool $doc("Run apart from every other request.");
+  isolated @11 :Bool $doc("Whether to run the request while the engine runs no other.");
   remaining @12 :Float64 $unit("seconds") $doc("Time left until the deadline.");
-  hops @13 :UInt32 $doc("VMs that have passed it on.");
+  hops @13 :UInt32 $doc("Number of VMs that have forwarded the request.");
 }
 
-struct ForwardCall $doc("A call of a plain service, passed to its executor.") {
+struct ForwardCall $doc("A call of a plain service, forwarded to its executor.") {
   requestId @0 :Text $ident("RequestId");
   application @1 :Text $ident("ApplicationId");
   service @2 :Text $ident("ServiceId");
@@ -165,7 +165,7 @@
   contentType @4 :Text;
   body @5 :Data;
   key @6 :Text $doc("The idempotency key as the caller sent it.");
-  keyTime @7 :Float64 $unit("seconds") $doc("When the key was made, as Unix time; 0 for a permit.");
+  keyTime @7 :Float64 $unit("seconds") $doc("Creation time of the key, as Unix time; 0 for a permit.");
   remaining @8 :Float64 $unit("seconds");
   hops @9 :UInt32;
 }
@@ -174,7 +174,7 @@
   kind @0 :Text;
   message @1 :Text;
   ran @2 :Text;
-  retryAfter @3 :Float64 $unit("seconds") $doc("0 when there is nothing to wait for.");
+  retryAfter @3 :Float64 $unit("seconds") $doc("Time after which to retry; 0 if none applies.");
 }
 
 struct ResponseHead $doc("Status and headers of an answer.") {
@@ -186,19 +186,19 @@
   payload @0 :Data;
 }
 
-struct ResponseEnd $doc("The answer is complete.") {
+struct ResponseEnd $doc("Marks the end of an answer.") {
   complete @0 :Bool = true;
 }
 
-struct ClaimAsk $doc("An executor asks a holder to acknowledge its claim.") {
+struct ClaimAsk $doc("Asks a holder to acknowledge an executor's claim.") {
   key @0 :Text $ident("ClaimKey");
   executor @1 :Text $ident("VmId");
   incarnation @2 :UInt64 $ident("Incarnation");
-  holder @3 :UInt64 $ident("Incarnation") $doc("Incarnation of the holder that is meant; 0 for any.");
+  holder @3 :UInt64 $ident("Incarnation") $doc("Incarnation of the holder that must answer; 0 for any.");
   bodyDigest @4 :Data;
 }
 
-struct ClaimTell $doc("An executor tells a holder how a claim ended.") {
+struct ClaimTell $doc("Tells a holder the outcome of an executor's claim.") {
   key @0 :Text $ident("ClaimKey");
   executor @1 :Text $ident("VmId");
   incarnation @2 :UInt64 $ident("Incarnation");
@@ -208,13 +208,13 @@
   answer @6 :Data;
 }
 
-struct SealAsk $doc("Asks a holder to see to it that an unclaimed key never runs.") {
+struct SealAsk $doc("Asks a holder to seal an unclaimed key, so that it never runs.") {
   key @0 :Text $ident("ClaimKey");
   holder @1 :UInt64 $ident("Incarnation");
   bodyDigest @2 :Data;
 }
 
-struct ClaimReply $doc("What a holder knows of a key after it was asked.") {
+struct ClaimReply $doc("State of a key at a holder, after the holder has processed the request.") {
   state @0 :ClaimState;
   acknowledged @1 :Bool = false;
   executor @2 :Text $ident("VmId");
@@ -225,19 +225,19 @@
   sameBody @7 :Bool = true;
 }
 
-struct TakeoverAsk $doc("An owner asks its deputy whether it has taken over an engine.") {
+struct TakeoverAsk $doc("Asks the deputy of the sender whether it has taken over an engine.") {
   engine @0 :Text $ident("EngineId");
   incarnation @1 :UInt64 $ident("Incarnation");
 }
 
-struct TakeoverReply $doc("The deputy's answer.") {
+struct TakeoverReply $doc("The deputy's answer to a takeover request.") {
   takenOver @0 :Bool;
-  validity @1 :Float64 $unit("seconds") $doc("How long the answer may be relied on.");
+  validity @1 :Float64 $unit("seconds") $doc("Time for which the answer is valid.");
 }
 
 struct ConfigurationAsk $doc("Asks for one value that the peer holds.") {
   key @0 :Text;
-  sha256 @1 :Text $doc("SHA-256, in hex, of the page that is wanted; empty for any.");
+  sha256 @1 :Text $doc("SHA-256, in hex, of the requested page; empty for any.");
 }
 
 struct ConfigurationReply $doc("A value of the configuration.") {
@@ -249,13 +249,13 @@
   revision @0 :UInt64;
 }
 
-struct Document $doc("One published document as the store gave it.") {
+struct Document $doc("One published document as read from the store.") {
   key @0 :Text;
   revision @1 :UInt64;
   content @2 :Data;
   deleted @3 :Bool;
   packed @4 :Bool $doc("Whether the content is compressed by zlib.");
-  lapsed @5 :Bool $doc("Whether it was deleted beside an outage of the store, so that it may come back.");
+  lapsed @5 :Bool $doc("Whether it was deleted around an outage of the store and may reappear.");
 }
 
 struct DocumentsReply $doc("Published documents, oldest first.") {
@@ -275,7 +275,7 @@
   left @1 :Float64 $doc("Remaining balance; negative while overdrawn.");
 }
 
-struct PromptPart $doc("A part of a prompt that other prompts may share.") {
+struct PromptPart $doc("A part of a prompt that other prompts may have in common.") {
   id @0 :Text;
   tokens @1 :UInt32;
 }
@@ -286,37 +286,37 @@
   model @2 :Text $ident("ModelId");
   adapter @3 :Text $ident("AdapterId") $doc("Empty for the base model.");
   promptTokens @4 :UInt32;
-  outputTokens @5 :UInt32 $doc("Most tokens of the answer.");
+  outputTokens @5 :UInt32 $doc("Maximum number of tokens of the answer.");
   parts @6 :List(PromptPart);
   priority @7 :UInt32 $doc("0 is the most urgent.");
-  target @8 :Float64 $unit("seconds") $doc("Time left until the first event would be late.");
+  target @8 :Float64 $unit("seconds") $doc("Time left until the first event exceeds the target latency.");
   remaining @9 :Float64 $unit("seconds") $doc("Time left until the deadline.");
   avoided @10 :List(Text) $doc("Engines that have failed this request.");
   domain @11 :Text $ident("DomainId") $doc("Failure domain of the asking VM.");
-  patience @12 :Float64 $unit("seconds") $doc("Time left until the caller leaves if it sees no event.");
+  patience @12 :Float64 $unit("seconds") $doc("Time left until the caller disconnects if it receives no event.");
   mayDecline @13 :Bool $doc("Whether another group can be asked instead.");
 }
 
-struct PlaceGrant $doc("The engine that holds a place, with the adapter loaded.") {
+struct PlaceGrant $doc("The engine on which a place was granted, with the adapter loaded.") {
   upstream @0 :Text $ident("UpstreamId");
   address @1 :Text;
-  version @2 :UInt32 $doc("Version of the adapter there; 0 where none was announced.");
+  version @2 :UInt32 $doc("Version of the adapter on that engine; 0 if none was announced.");
 }
 
 enum PlaceOutcome $doc("How the use of a place ended.") {
-  finished @0 $doc("The answer was whole.");
+  finished @0 $doc("The answer was complete.");
   refused @1 $doc("The engine did not run the request.");
-  failed @2 $doc("The engine answered with a failure, or too late.");
-  abandoned @3 $doc("The caller left.");
+  failed @2 $doc("The engine answered with an error, or too late.");
+  abandoned @3 $doc("The caller disconnected.");
   lost @4 $doc("The engine could not be reached, or its connection broke.");
 }
 
-struct PlaceEnd $doc("Gives a place back.") {
+struct PlaceEnd $doc("Releases a place.") {
   outcome @0 :PlaceOutcome;
-  firstEvent @1 :Float64 $unit("seconds") $doc("Time from sending the request to its first event; 0 when none came.");
+  firstEvent @1 :Float64 $unit("seconds") $doc("Time from sending the request to its first event; 0 if none was received.");
 }
 
-struct PlaceHold $doc("Tells a new owner of a place that a former owner gave.") {
+struct PlaceHold $doc("Reports to a new owner a place that a former owner granted.") {
   ask @0 :PlaceAsk;
   upstream @1 :Text $ident("UpstreamId");
 }
