--- a/flamingovalve/cmd/account.py
+++ b/flamingovalve/cmd/account.py
@@ -69,7 +69,7 @@
         ]
         if not request_lines:
             raise cappa.Exit(
-                f'none of {reader.counts.lines} lines has the request id '
+                f'no line of {reader.counts.lines} has the request id '
                 f'{self.request!r}; pass the logs of all VMs for that time',
                 code=EXIT_UNREADABLE,
             )
