--- a/flamingovalve/relay/__init__.py
+++ b/flamingovalve/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to upstreams and the checks on their answers."""
+"""Calls to upstreams and checks of their responses."""
--- a/flamingovalve/relay/breaker.py
+++ b/flamingovalve/relay/breaker.py
@@ -1,4 +1,4 @@
-"""Circuit breakers by upstream, and the retry budget."""
+"""Circuit breakers, one for each upstream, and the retry budget."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 @dataclass(slots=True)
 class Breaker:
-    """What one upstream did lately.
+    """State of the circuit breaker of one upstream.
 
-    :ivar failures: failures since the last success
-    :ivar open_until: calls are refused before this moment, on our clock
+    :ivar failures: consecutive failures since the last success
+    :ivar open_until: time on the monotonic clock before which calls are
+        refused; 0 while the breaker is closed
     """
 
     failures: int = 0
@@ -29,51 +30,55 @@
 class BreakerSet:
     """Refuses calls to upstreams that keep failing.
 
-    A dead upstream costs each request a connect timeout, which shows as
-    slow answers everywhere. While its breaker is open, requests go
-    elsewhere at once; one call after the pause finds out whether it is back.
+    Each request to a dead upstream waits for a connect timeout, which slows
+    down requests of every caller. While the breaker is open, requests go to
+    other upstreams immediately; one call after the pause probes whether the
+    upstream has recovered.
     """
 
     def __init__(self, settings: RelaySettings) -> None:
-        """Open and close as ``settings`` say."""
+        """Take the thresholds of all breakers from ``settings``."""
         self.opened = 0
         self._settings = settings
         self._by_address: dict[str, Breaker] = {}
 
     def allows(self, address: str) -> bool:
-        """Tell whether a call to ``address`` may be tried."""
+        """Return whether a call to ``address`` may be made."""
         breaker = self._by_address.get(address)
         if breaker is None or not breaker.open_until:
             return True
         if clock.now() < breaker.open_until:
             return False
-        # Half open: one call goes through, the next ones wait for it.
+        # Half open: one probe call is allowed; the breaker stays open to
+        # all other calls until the probe succeeds or the pause ends.
         breaker.open_until = clock.now() + self._settings.breaker_seconds
         return True
 
     def succeeded(self, address: str) -> None:
-        """Count a success of ``address``."""
+        """Record a successful call to ``address``."""
         breaker = self._by_address.get(address)
         if breaker is None:
             return
         if breaker.open_until:
-            logger.info('upstream {} answers again', address)
+            logger.info('circuit breaker closed: upstream {} answers', address)
         breaker.failures = 0
         breaker.open_until = 0
 
     def failed(self, address: str) -> None:
-        """Count a failure of ``address``."""
+        """Record a failed call to ``address``."""
         breaker = self._by_address.setdefault(address, Breaker())
         breaker.failures += 1
         if breaker.failures < self._settings.breaker_failures:
             return
         if not breaker.open_until:
             self.opened += 1
-            logger.warning('upstream {} keeps failing', address)
+            logger.warning(
+                'circuit breaker opened: upstream {} keeps failing', address
+            )
         breaker.open_until = clock.now() + self._settings.breaker_seconds
 
     def open_addresses(self) -> list[str]:
-        """Give the upstreams whose breaker is open."""
+        """Return the addresses of upstreams whose breaker is open."""
         return [
             address
             for address, breaker in self._by_address.items()
@@ -82,14 +87,14 @@
 
 
 class RetryBudget:
-    """Allows retries as a share of the successes.
+    """Token bucket that limits retries to a share of the successful calls.
 
-    When upstreams fail for everybody, each request that retries adds load
-    where there is too much already. The budget caps that addition.
+    When upstreams fail for all callers, retries add load to an overload.
+    The budget bounds that additional load.
     """
 
     def __init__(self, settings: RelaySettings) -> None:
-        """Start with the reserve."""
+        """Fill the budget up to the reserve in ``settings``."""
         self.spent = 0
         self.refused = 0
         self._ratio = settings.retry_ratio
@@ -97,11 +102,11 @@
         self._tokens = self._limit
 
     def succeeded(self) -> None:
-        """Earn a share of one retry."""
+        """Add the configured fraction of a retry for a successful call."""
         self._tokens = min(self._limit, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Take one retry, if there is one."""
+        """Spend one retry; return False if the budget is exhausted."""
         if self._tokens < 1:
             self.refused += 1
             return False
--- a/flamingovalve/relay/quarantine.py
+++ b/flamingovalve/relay/quarantine.py
@@ -1,4 +1,4 @@
-"""Keeps a request that crashes engines from crashing more of them."""
+"""Quarantine of requests that crash engines."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 logger = get_logger(__name__)
 
-_CONVICTION: Final = 2
-_BOOTS_KEPT: Final = 64
+_CRASHES_TO_REFUSE: Final = 2
+_MAX_CRASHED_BOOTS: Final = 64
 
 
 class Verdict(Enum):
-    """How a request may be run."""
+    """Whether and how a request may be run."""
 
     CLEAR = 'clear'
     SUSPECT = 'suspect'
@@ -30,10 +30,11 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """What is held against one fingerprint.
+    """Crashes attributed to the requests with one fingerprint.
 
-    :ivar crashes: 1 for a suspect; 2 once it crashed an engine on its own
-    :ivar expires_at: on our clock
+    :ivar crashes: 1 for a suspect; 2 once it crashed an engine on which it
+        ran alone
+    :ivar expires_at: expiry time on the monotonic clock
     """
 
     crashes: int
@@ -42,7 +43,7 @@
 
 @dataclass
 class QuarantineCounts:
-    """What the quarantine has seen since this process started."""
+    """Counters of the quarantine since this process started."""
 
     crashes: int = 0
     suspects: int = 0
@@ -57,35 +58,36 @@
 
 
 class Quarantine:
-    """Suspects after a crash are run apart; a second crash convicts.
+    """Finds the requests that crash engines and refuses them.
 
-    When an engine crashes, every request it ran is a suspect, and most are
-    innocent. A suspect is run on an engine by itself: if that crashes too,
-    there is no neighbour to blame, and if it succeeds, it is cleared.
+    When an engine crashes, every request that it ran becomes a suspect,
+    although most of them didn't cause the crash. A suspect runs alone on an
+    engine: if that engine crashes too, the request is the cause and is
+    refused from then on; if it succeeds, it is cleared.
     """
 
     def __init__(self, settings: RelaySettings) -> None:
-        """Start without suspects."""
+        """Start with no suspects."""
         self.counts = QuarantineCounts()
-        self.news: list[PoisonRumour] = []
+        self.unsent_rumours: list[PoisonRumour] = []
         self._settings = settings
         self._by_fingerprint: dict[Fingerprint, Suspicion] = {}
         self._in_flight: dict[EngineId, _InFlight] = {}
         self._crashed_boots: list[tuple[EngineId, str]] = []
 
     def __len__(self) -> int:
-        """Count the suspects and the convicted."""
+        """Return the number of suspect and refused fingerprints."""
         return len(self._by_fingerprint)
 
     def verdict(self, fingerprint: Fingerprint) -> Verdict:
-        """Tell how the request of ``fingerprint`` may be run."""
+        """Return whether the request with ``fingerprint`` may be run."""
         known = self._by_fingerprint.get(fingerprint)
         if known is None:
             return Verdict.CLEAR
         if clock.now() >= known.expires_at:
             del self._by_fingerprint[fingerprint]
             return Verdict.CLEAR
-        if known.crashes >= _CONVICTION:
+        if known.crashes >= _CRASHES_TO_REFUSE:
             self.counts.refused += 1
             return Verdict.REFUSED
         return Verdict.SUSPECT
@@ -96,45 +98,45 @@
         request_id: str,
         fingerprint: Fingerprint,
     ) -> None:
-        """Note that an engine runs a request."""
+        """Record that an engine started a request."""
         running = self._in_flight.setdefault(engine, _InFlight())
         running.fingerprints[request_id] = fingerprint
 
     def ended(self, engine: EngineId, request_id: str) -> None:
-        """Note that a request no longer runs."""
+        """Record that an engine no longer runs a request."""
         running = self._in_flight.get(engine)
         if running is not None:
             running.fingerprints.pop(request_id, None)
 
     def cleared(self, fingerprint: Fingerprint) -> None:
-        """Note that a suspect ran apart and did no harm."""
+        """Clear a suspect that ran alone without a crash."""
         if self._by_fingerprint.pop(fingerprint, None) is not None:
             self.counts.cleared += 1
 
     def crashed(self, engine: EngineId, boot: str) -> None:
-        """Note that an engine crashed; suspect what it ran.
+        """Record that an engine crashed; suspect the requests it ran.
 
-        Every request in flight notices the crash; it counts once.
+        Every request in flight reports the crash; it is counted once.
 
-        :param boot: the boot of the engine that ended
+        :param boot: boot id of the engine process that ended
         """
         if (engine, boot) in self._crashed_boots:
             return
         self._crashed_boots.append((engine, boot))
-        del self._crashed_boots[:-_BOOTS_KEPT]
+        del self._crashed_boots[:-_MAX_CRASHED_BOOTS]
         self.counts.crashes += 1
         running = self._in_flight.get(engine, _InFlight())
-        present = set(running.fingerprints.values())
-        for fingerprint in present:
-            self._suspect(fingerprint, alone=len(present) == 1)
+        fingerprints = set(running.fingerprints.values())
+        for fingerprint in fingerprints:
+            self._suspect(fingerprint, alone=len(fingerprints) == 1)
 
     def suspect_remotely(self, fingerprint: Fingerprint) -> None:
-        """Suspect a request that crashed an engine of another VM."""
+        """Suspect a request that ran on a crashed engine of another VM."""
         if fingerprint not in self._by_fingerprint:
             self._suspect(fingerprint, alone=False)
 
     def apply_rumour(self, rumour: PoisonRumour) -> bool:
-        """Take another VM's finding; tell whether it was news."""
+        """Apply another VM's rumour; return whether it changed anything."""
         known = self._by_fingerprint.get(rumour.fingerprint)
         if known is not None and known.crashes >= rumour.crashes:
             return False
@@ -146,22 +148,24 @@
         return True
 
     def take_news(self) -> list[PoisonRumour]:
-        """Give the findings that other VMs have not been told."""
-        news = self.news
-        self.news = []
-        return news
+        """Remove and return the rumours not yet sent to other VMs."""
+        rumours = self.unsent_rumours
+        self.unsent_rumours = []
+        return rumours
 
     def _suspect(self, fingerprint: Fingerprint, *, alone: bool) -> None:
         known = self._by_fingerprint.get(fingerprint)
         crashes = 1
         if known is not None and alone:
-            # Seen at two crashes, the second time without neighbours.
-            crashes = _CONVICTION
+            # It took part in two crashes and ran alone at the second.
+            crashes = _CRASHES_TO_REFUSE
             self.counts.convicted += 1
-            logger.warning('request {:016x} crashes engines', fingerprint)
+            logger.warning(
+                'request with fingerprint {:016x} crashes engines', fingerprint
+            )
         else:
             self.counts.suspects += 1
         seconds = self._settings.quarantine_seconds
         expires_at = clock.now() + seconds
         self._by_fingerprint[fingerprint] = Suspicion(crashes, expires_at)
-        self.news.append(PoisonRumour(fingerprint, crashes, seconds))
+        self.unsent_rumours.append(PoisonRumour(fingerprint, crashes, seconds))
--- a/flamingovalve/relay/work.py
+++ b/flamingovalve/relay/work.py
@@ -1,4 +1,4 @@
-"""One completion on its way to an engine."""
+"""A completion request and its routing state."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 
 @dataclass
 class CompletionWork:
-    """A completion with everything that serving it needs.
+    """A completion request with the state needed to serve it.
 
     :ivar body: JSON whose ``model`` names adapter and version
-    :ivar deadline: on our clock
-    :ivar offset: events of the answer that the caller already has
-    :ivar isolated: run it apart from every other request
-    :ivar hops: VMs that have passed it on
+    :ivar deadline: time on the monotonic clock
+    :ivar offset: number of events that the caller has already received
+    :ivar isolated: run it alone on its engine
+    :ivar hops: number of VMs that have forwarded it
     :ivar engine: the engine that was tried last
-    :ivar avoided: engines that failed it already
+    :ivar avoided: engines on which it has already failed
     """
 
     request_id: RequestId
@@ -65,7 +65,7 @@
         target: Target,
         deadline: float,
     ) -> Self:
-        """Build the work of a caller's request, already checked."""
+        """Build the work for a caller's validated request."""
         content['model'] = target.name
         return cls(
             RequestId(''),
@@ -80,7 +80,7 @@
 
     @classmethod
     def from_forward(cls, message: ForwardCompletion, target: Target) -> Self:
-        """Build the work that another VM passed on."""
+        """Build the work from a message of a VM that forwarded it."""
         return cls(
             message.request_id,
             message.application,
@@ -96,7 +96,7 @@
         )
 
     def to_forward(self, engine: EngineId) -> ForwardCompletion:
-        """Give the message that passes the work on."""
+        """Return the message that forwards the work to the engine's owner."""
         return ForwardCompletion(
             self.request_id,
             self.application,
@@ -115,12 +115,12 @@
         )
 
     def remaining(self) -> float:
-        """Give the seconds left until the deadline."""
+        """Return the seconds left until the deadline."""
         return self.deadline - clock.now()
 
     @cached_property
     def fingerprint(self) -> Fingerprint:
-        """Give what tells a resend of this request from other requests."""
+        """Hash that is equal for resends of the same request."""
         digest = hashing.fingerprint(
             self.application,
             self.target.name,
@@ -130,15 +130,15 @@
 
 
 def requested_model(content: dict[str, Any]) -> str:
-    """Give the model that a request's body names.
+    """Return the model that the body of a request names.
 
-    :raises ServingError: when it names none
+    :raises ServingError: if it names none
     """
     model = content.get('model')
     if not isinstance(model, str) or not model:
         raise ServingError(
             ErrorKind.MALFORMED_REQUEST,
-            "the body names no model; set 'model' to ADAPTER or "
+            "the body does not name a model; set 'model' to ADAPTER or "
             'ADAPTER@VERSION',
         )
     return model
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request, or a clear failure."""
+"""Callers get the complete response to their request or a clear error."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 OK = 200
 
 
-class RelayCase(unittest.TestCase):
-    """Sends requests and looks at the engines."""
+class RelayTestCase(unittest.TestCase):
+    """Base class that sends requests to a fleet and inspects its engines."""
 
     shape = Shape(vms=3, engines=2)
 
     def setUp(self):
-        """Start a fleet that has run for a while."""
+        """Start a fleet and let it run for a while."""
         self.fleet = Fleet.started(self.shape)
         self.addCleanup(self.fleet.close)
         self.fleet.world.advance(10)
 
     def start(self, model, prompt, vm_id='vm-0', **options):
-        """Send a completion and do not wait."""
+        """Send a completion without waiting for the response."""
         address = self.fleet.vms_by_id[vm_id].http_address
         call = completion_call(model, prompt, **options)
         return self.fleet.caller.start(address, call)
 
     def finish(self, *tasks, seconds=120):
-        """Wait for requests and give their answers."""
+        """Wait for requests and return their outcomes."""
         done = self.fleet.world.run_until(
             lambda: all(task.terminated for task in tasks),
             seconds,
@@ -45,7 +45,7 @@
         return [outcome_of(task) for task in tasks]
 
     def serving_engine(self):
-        """Give the engine that runs a request now."""
+        """Return an engine that currently runs a request."""
         return next(
             engine
             for engine in self.fleet.engines_by_id.values()
@@ -53,25 +53,25 @@
         )
 
     def owner_of(self, engine):
-        """Give the VM that owns an engine."""
+        """Return the id of the VM that owns an engine."""
         return self.fleet.owners()[engine.name][0]
 
     def total(self, name):
-        """Add up a figure of all engines."""
+        """Return the sum of a counter over all engines."""
         return sum(
             getattr(engine.counted, name)
             for engine in self.fleet.engines_by_id.values()
         )
 
 
-class RelayTest(RelayCase):
-    """Answers that go wrong between the engine and the caller."""
+class RelayTest(RelayTestCase):
+    """Failures between the engine and the caller."""
 
-    def test_answer_of_another_adapter_is_never_passed_on(self):
-        """An engine answers in the name of another adapter, once.
+    def test_answer_of_another_adapter_is_never_forwarded(self):
+        """An engine labels one response with the name of another adapter.
 
-        The answer is discarded and the request tried again; the caller
-        notices nothing but the time.
+        The response is discarded and the request retried; the caller only
+        notices the delay.
         """
         for stream in (False, True):
             for engine in self.fleet.engines_by_id.values():
@@ -83,8 +83,8 @@
                 expected = expected_text('adapter-1@2', 'hello')
                 self.assertEqual(reader(response.body), expected)
 
-    def test_wrong_answers_without_end_fail_visibly(self):
-        """Every answer is somebody else's; the caller gets a typed error."""
+    def test_persistent_wrong_answers_return_an_error(self):
+        """All responses belong to another request; the caller gets an error."""
         for engine in self.fleet.engines_by_id.values():
             engine.mislabel = 10_000
         response = self.fleet.complete('vm-0', 'adapter-1')
@@ -93,8 +93,8 @@
     def test_cut_stream_is_resumed(self):
         """The connection breaks in the middle of an event.
 
-        The stream goes on from the next event on a new connection, and the
-        caller gets every event once.
+        The stream resumes after the last complete event on a new connection,
+        and the caller gets every event exactly once.
         """
         for engine in self.fleet.engines_by_id.values():
             engine.cut_streams = 1
@@ -104,10 +104,10 @@
         self.assertEqual(self.total('runs'), 1)
 
     def test_silent_connection_is_replaced(self):
-        """Connections to the engine go silent while an answer streams.
+        """Connections to the engine go silent during a stream.
 
-        Something between lost track of them; the engine is well. The relay
-        notices by the missing chunks and resumes on a new connection.
+        A middlebox has dropped them while the engine is healthy. The relay
+        detects this by the missing chunks and resumes on a new connection.
         """
         task = self.start('adapter-1', 'long', stream=True, max_tokens=100)
         self.fleet.world.advance(1.2)
@@ -122,7 +122,7 @@
     def test_silent_pooled_connections(self):
         """Idle connections to engines went silent; new ones work.
 
-        The next requests may lose the time to notice, and are answered.
+        The next requests may be delayed by the timeout but are answered.
         """
         for index in range(4):
             self.fleet.complete('vm-0', f'adapter-{index}')
@@ -146,10 +146,11 @@
             self.assertEqual(response.status, OK)
 
     def test_engine_crash_in_a_stream_aborts_it(self):
-        """The engine dies while it streams; nobody can resume it.
+        """The engine crashes during a stream, which cannot be resumed.
 
-        The caller's body ends without its end marker and its connection
-        breaks, so it cannot take the fragment for the answer.
+        The response body ends without its end marker and the connection
+        breaks, so the caller cannot mistake the incomplete response for a
+        complete one.
         """
         task = self.start('adapter-1', 'long', stream=True, max_tokens=100)
         self.fleet.world.advance(1.2)
@@ -159,9 +160,9 @@
         self.assertIsInstance(outcome, Exception)
 
     def test_engine_crash_before_the_answer_is_retried(self):
-        """The engine dies while it works on a whole answer.
+        """The engine crashes while it computes an unstreamed response.
 
-        The request is idempotent, so it is run again elsewhere.
+        The request is idempotent, so it is run again on another engine.
         """
         task = self.start('adapter-1', 'long', max_tokens=100)
         self.fleet.world.advance(1.2)
@@ -172,10 +173,10 @@
         self.assertEqual(text_of(response.body).count('adapter-1@2'), 100)
 
     def test_owner_dies_in_a_stream(self):
-        """The VM that relays a stream dies; the entry VM goes on.
+        """The VM that relays a stream dies; the entry VM continues it.
 
-        The engine still has the stream. The new owner resumes it, and the
-        caller of another VM gets every event once.
+        The engine still holds the stream. The new owner resumes it, and the
+        caller, connected to another VM, gets every event exactly once.
         """
         task = self.start('adapter-1', 'x', stream=True, max_tokens=1500)
         self.fleet.world.advance(1.2)
@@ -198,8 +199,8 @@
         self.assertEqual(text.count('adapter-1@2'), 1500)
         self.assertEqual(self.total('runs'), runs)
 
-    def test_caller_hangs_up(self):
-        """The caller closes its connection; the engine's work is cancelled."""
+    def test_caller_disconnects(self):
+        """The caller disconnects; the engines cancel its requests."""
         self.start('adapter-1', 'long', stream=True, max_tokens=1000)
         self.start('adapter-2', 'long', max_tokens=1000)
         self.fleet.world.advance(2)
@@ -217,9 +218,10 @@
                 self.assertEqual(sum(pins), 0)
 
     def test_deadline_in_the_answer(self):
-        """The answer takes longer than the caller allows.
+        """The response takes longer than the caller's deadline.
 
-        The caller is told at its deadline, and the engine stops working.
+        The caller gets an error at its deadline, and the engine cancels the
+        request.
         """
         started = self.fleet.world.moment
         response = self.fleet.complete(
@@ -234,10 +236,10 @@
         self.fleet.world.advance(3)
         self.assertEqual(self.total('cancelled'), 1)
 
-    def test_failed_loads_are_tried_elsewhere(self):
-        """The weight store fails loads of one engine.
+    def test_failed_loads_are_retried_on_another_engine(self):
+        """The weight store fails the loads of one engine.
 
-        Requests go to the next engine of their adapter.
+        Requests are sent to the next engine in the order of their adapter.
         """
         first = self.fleet.engines_by_id['engine-0']
         first.fail_loads = 1000
@@ -246,7 +248,7 @@
             self.assertEqual(response.status, OK)
 
     def test_all_loads_fail(self):
-        """The weight store is down: a typed error, at once, not run."""
+        """The weight store is down: a prompt error, the request is not run."""
         for engine in self.fleet.engines_by_id.values():
             engine.fail_loads = 1000
         started = self.fleet.world.moment
@@ -257,9 +259,9 @@
         self.assertLess(self.fleet.world.moment - started, 30)
 
     def test_engine_lost_its_adapters(self):
-        """An engine restarts between two reports, with empty slots.
+        """An engine restarts with empty slots between two reports.
 
-        The request finds its adapter missing, loads it and is answered.
+        The request finds its adapter missing, has it loaded and is answered.
         """
         self.assertEqual(
             self.fleet.complete('vm-0', 'adapter-1').status,
@@ -271,10 +273,10 @@
         self.assertEqual(response.status, OK)
 
     def test_retry_budget_bounds_the_load(self):
-        """Every engine answers wrongly: retries are a share of successes.
+        """All responses are wrong: retries stay within the retry budget.
 
-        Without the budget each request would be tried many times and the
-        engines would work only on what fails.
+        Without the budget, each request would be retried many times and the
+        engines would spend all their time on requests that fail.
         """
         for engine in self.fleet.engines_by_id.values():
             engine.mislabel = 100_000
@@ -282,8 +284,8 @@
             self.fleet.complete('vm-0', 'adapter-1', f'{index}')
         self.assertLessEqual(self.total('runs'), 60 + 10 + 3)
 
-    def test_engine_error_of_the_caller_is_passed_on(self):
-        """An engine refuses the caller's parameters: that is the answer."""
+    def test_max_tokens_of_the_caller_is_forwarded(self):
+        """The caller's ``max_tokens`` reaches the engine and takes effect."""
         response = self.fleet.complete('vm-0', 'adapter-1', max_tokens=4)
         self.assertEqual(
             json.loads(response.body)['usage']['completion_tokens'],
@@ -291,8 +293,8 @@
         )
 
 
-class RestartTest(RelayCase):
-    """An engine restarts between two looks of its owner."""
+class RestartTest(RelayTestCase):
+    """An engine restarts between two reports to its owner."""
 
     shape = Shape(
         vms=1,
@@ -305,12 +307,12 @@
         ),
     )
 
-    def test_adapter_stays_after_a_restart_nobody_noticed(self):
+    def test_adapter_stays_after_an_undetected_restart(self):
         """A request reaches an engine that has just restarted.
 
-        Its owner still knows the old start of the engine. When the stream
-        breaks, that must not be taken for proof that nothing runs: the
-        adapter would be evicted under the request. (Found by the fuzzer.)
+        Its owner still knows the earlier boot of the engine. When the stream
+        breaks, the new boot doesn't prove that the request has ended: the
+        owner would evict the adapter while the request uses it.
         """
         engine = self.fleet.engines_by_id['engine-0']
         engine.restart_seconds = 0.1
@@ -328,8 +330,8 @@
         self.assertEqual(self.total('evicted_in_use'), 0)
 
 
-class LateNoticeTest(RelayCase):
-    """A restart is noticed while a request runs that came after it."""
+class LateRestartDetectionTest(RelayTestCase):
+    """A restart is detected while a later request is running."""
 
     shape = Shape(
         vms=1,
@@ -343,11 +345,12 @@
         ),
     )
 
-    def test_pin_outlives_the_notice(self):
-        """The owner counts all adapters as lost, one of them in use.
+    def test_pin_survives_restart_detection(self):
+        """The owner takes all adapters for unloaded, one of them in use.
 
-        The next request for it loads it again, at once, since the engine
-        has it; the first one's pin must count still. (Found by the fuzzer.)
+        The next request for that adapter loads it again, which takes no time
+        since the engine still holds it; the pin of the first request must
+        remain in force.
         """
         engine = self.fleet.engines_by_id['engine-0']
         engine.restart_seconds = 0.1
@@ -366,23 +369,23 @@
         self.assertEqual(self.total('evicted_in_use'), 0)
 
 
-class QuarantineTest(RelayCase):
+class QuarantineTest(RelayTestCase):
     """A request that crashes every engine that runs it."""
 
     shape = Shape(vms=4, engines=4, batch=8)
 
     def crashes(self):
-        """Give how many engines have crashed."""
+        """Return the number of engine crashes."""
         return self.total('crashes')
 
     def test_poison_is_refused_after_two_crashes(self):
-        """A caller sends a request that crashes engines, 20 times over.
+        """A caller sends a request that crashes engines 20 times.
 
-        Two engines crash; after that it is refused by every VM, while
-        those that ran beside it are answered.
+        After two crashes every VM refuses it; the requests that ran in the
+        same batch are answered.
         """
         vm_ids = list(self.fleet.vms_by_id)
-        innocents = [
+        unrelated_requests = [
             self.start(
                 f'adapter-{index % 6}',
                 f'innocent {index}',
@@ -402,14 +405,14 @@
             self.fleet.world.advance(3)
         self.assertEqual(error_type(response), 'poison_request')
         self.assertLessEqual(self.crashes(), 2)
-        for outcome in self.finish(*innocents):
+        for outcome in self.finish(*unrelated_requests):
             self.assertEqual(outcome.status, OK)
 
-    def test_innocents_are_cleared(self):
-        """An engine crashes for reasons of its own.
+    def test_unrelated_requests_are_cleared(self):
+        """An engine crashes for a reason unrelated to its requests.
 
-        Requests that ran there are tried apart, succeed, and are no longer
-        suspects.
+        The requests that it ran are retried in isolation, succeed, and are
+        no longer suspects.
         """
         tasks = [
             self.start('adapter-1', f'{index}', max_tokens=60)
@@ -429,7 +432,7 @@
         self.assertEqual(outcome.status, OK)
 
     def test_quarantine_expires(self):
-        """The engines were mended; after a while the request runs again."""
+        """After the quarantine has expired, the request is run again."""
         for _index in range(4):
             self.fleet.complete('vm-0', 'adapter-1', 'poison')
             self.fleet.world.advance(3)
