--- a/flamingovalve/account/__init__.py
+++ b/flamingovalve/account/__init__.py
@@ -1,1 +1,1 @@
-"""What the structured log lines of many VMs say about lost requests."""
+"""Analysis of lost requests from the structured logs of several VMs."""
--- a/flamingovalve/account/lines.py
+++ b/flamingovalve/account/lines.py
@@ -1,4 +1,4 @@
-"""Reads structured log lines and passes over what is none."""
+"""Parser of structured log lines that skips and counts other lines."""
 
 from __future__ import annotations
 
@@ -13,38 +13,41 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One decision that a VM wrote down.
+    """One structured log line.
 
-    :ivar vm: the log that it stands in, named after its VM
-    :ivar moment: Unix time at which it was written, by that VM's clock
-    :ivar message: what was decided
+    :ivar vm: name of the log file, which is named after its VM
+    :ivar logged_at: Unix time of the line, by the clock of its VM
+    :ivar message: the event that was logged
+    :ivar fields: all fields of the line
     """
 
     vm: str
-    moment: float
+    logged_at: float
     message: str
-    facts: dict[str, Any]
+    fields: dict[str, Any]
 
     def text(self, name: str) -> str:
-        """Give a fact as text; empty where it is missing."""
-        return str(self.facts.get(name, ''))
+        """Return a field as text; empty if it is missing."""
+        return str(self.fields.get(name, ''))
 
     def seconds(self, name: str) -> float | None:
-        """Give a fact that is a time, where it is one."""
-        fact = self.facts.get(name)
-        if isinstance(fact, int | float) and not isinstance(fact, bool):
-            return float(fact)
+        """Return a field in seconds; None if it is not a number."""
+        content = self.fields.get(name)
+        if isinstance(content, int | float) and not isinstance(content, bool):
+            return float(content)
         return None
 
 
 @dataclass
 class ReadingCounts:
-    """What was read.
-
-    :ivar foreign: lines that are no JSON object, such as cut ones
-    :ivar undated: objects without a time or a message
-    :ivar backward: lines that are dated before the one before them by more
-        than a moment, as after a step of their VM's clock
+    """Counters of the lines that were read.
+
+    :ivar lines: lines that are not blank
+    :ivar foreign: lines that are not JSON objects, such as truncated lines
+    :ivar undated: objects without a valid time or without a message
+    :ivar backward: lines dated earlier than the latest line before them by
+        more than the tolerance, for example after the VM's clock was set
+        back
     """
 
     lines: int = 0
@@ -55,45 +58,45 @@
 
 @dataclass
 class LineReader:
-    """Decodes the lines of any number of logs, one at a time."""
+    """Decodes the lines of any number of logs, one log at a time."""
 
     counts: ReadingCounts = field(default_factory=ReadingCounts)
 
     def read(self, vm: str, lines: Iterable[str]) -> Iterator[LogLine]:
-        """Give the lines of one VM's log that can be read."""
-        newest = float('-inf')
+        """Yield the lines of one VM's log that can be decoded."""
+        latest = float('-inf')
         for line in lines:
-            decoded = self._decoded(vm, line)
+            decoded = self._decode(vm, line)
             if decoded is None:
                 continue
-            if decoded.moment < newest - _MOMENT_SECONDS:
+            if decoded.logged_at < latest - _BACKWARD_TOLERANCE_SECONDS:
                 self.counts.backward += 1
-            newest = max(newest, decoded.moment)
+            latest = max(latest, decoded.logged_at)
             yield decoded
 
-    def _decoded(self, vm: str, line: str) -> LogLine | None:
+    def _decode(self, vm: str, line: str) -> LogLine | None:
         if not line.strip():
             return None
         self.counts.lines += 1
         try:
-            facts = json.loads(line)
+            fields = json.loads(line)
         except ValueError:
-            facts = None
-        if not isinstance(facts, dict):
+            fields = None
+        if not isinstance(fields, dict):
             self.counts.foreign += 1
             return None
-        return self._dated(vm, facts)
+        return self._decode_fields(vm, fields)
 
-    def _dated(self, vm: str, facts: dict[str, Any]) -> LogLine | None:
-        message = facts.get('message')
+    def _decode_fields(self, vm: str, fields: dict[str, Any]) -> LogLine | None:
+        message = fields.get('message')
         try:
-            moment = datetime.fromisoformat(facts['time']).timestamp()
+            logged_at = datetime.fromisoformat(fields['time']).timestamp()
         except (KeyError, TypeError, ValueError):
-            moment = None
-        if moment is None or not isinstance(message, str):
+            logged_at = None
+        if logged_at is None or not isinstance(message, str):
             self.counts.undated += 1
             return None
-        return LogLine(vm, moment, message, facts)
+        return LogLine(vm, logged_at, message, fields)
 
 
-_MOMENT_SECONDS = 1.0
+_BACKWARD_TOLERANCE_SECONDS = 1.0
--- a/flamingovalve/account/report.py
+++ b/flamingovalve/account/report.py
@@ -1,4 +1,4 @@
-"""Tables and a picture of where requests were lost."""
+"""Tables and a plot of where requests were lost."""
 
 from __future__ import annotations
 
@@ -12,36 +12,38 @@
     from flamingovalve.account.lines import LogLine, ReadingCounts
     from flamingovalve.account.summary import BoundedCounter, Summary
 
-_MOST_ROWS: Final = 12
-_QUANTILES: Final = (50, 90, 99)
-_PLAIN_FACTS: Final = frozenset(('time', 'level', 'channel', 'message', 'id'))
+_MAX_ROWS: Final = 12
+_PERCENTILES: Final = (50, 90, 99)
+_STANDARD_FIELDS: Final = frozenset(
+    ('time', 'level', 'channel', 'message', 'id')
+)
 
 
 def summary_text(summary: Summary, counts: ReadingCounts) -> str:
-    """Give all tables."""
+    """Return all tables as text."""
     parts = [
-        _reading(counts, summary.misdated),
-        _counted('OUTCOME', summary.outcomes),
-        _counted('NO PLACE BECAUSE', summary.reasons),
-        _counted('NOT ANSWERED, BY VM', summary.by_vm),
-        _counted('NOT ANSWERED, BY PATH', summary.by_path),
-        _counted('SENT, BY ROUTE', summary.sends),
-        _stages(summary),
-        _seconds(summary),
+        _reading_text(counts, summary.misdated),
+        _counter_table('OUTCOME', summary.outcomes),
+        _counter_table('NO PLACE BECAUSE', summary.reasons),
+        _counter_table('NOT ANSWERED, BY VM', summary.by_vm),
+        _counter_table('NOT ANSWERED, BY PATH', summary.by_path),
+        _counter_table('SENT, BY ROUTE', summary.sends),
+        _stage_table(summary),
+        _outcome_table(summary),
     ]
     return '\n\n'.join(parts)
 
 
 def request_text(lines: Iterable[LogLine]) -> str:
-    """Give the way of one request, in the order of its lines' times."""
-    ordered = sorted(lines, key=lambda line: line.moment)
-    began = ordered[0].moment
+    """Return a table of the log lines of one request, ordered by time."""
+    ordered = sorted(lines, key=lambda line: line.logged_at)
+    started_at = ordered[0].logged_at
     rows = [
         (
-            f'{line.moment - began:+.3f}',
+            f'{line.logged_at - started_at:+.3f}',
             line.vm,
             line.message,
-            _facts(line),
+            _format_fields(line),
         )
         for line in ordered
     ]
@@ -49,12 +51,12 @@
 
 
 def plot(summary: Summary, path: str) -> None:
-    """Draw outcomes over the seconds.
+    """Plot the outcomes for each second into the file ``path``.
 
-    :raises OSError: when the file cannot be written
-    :raises ValueError: when its ending names no format of pictures
+    :raises OSError: if the file cannot be written
+    :raises ValueError: if its extension is not a supported image format
     """
-    # Takes a second to import, and only pictures need it.
+    # The import takes a second, and only plots need it.
     from matplotlib.figure import Figure
 
     seconds = sorted(summary.by_second)
@@ -73,16 +75,16 @@
     figure.savefig(path)
 
 
-def _facts(line: LogLine) -> str:
+def _format_fields(line: LogLine) -> str:
     shown = [
-        f'{name}={fact}'
-        for name, fact in line.facts.items()
-        if name not in _PLAIN_FACTS
+        f'{name}={content}'
+        for name, content in line.fields.items()
+        if name not in _STANDARD_FIELDS
     ]
     return ' '.join(shown)
 
 
-def _reading(counts: ReadingCounts, misdated: int) -> str:
+def _reading_text(counts: ReadingCounts, misdated: int) -> str:
     return (
         f'{counts.lines} lines; {counts.foreign} no JSON objects, '
         f'{counts.undated} without time or message, {counts.backward} dated '
@@ -90,25 +92,25 @@
     )
 
 
-def _counted(head: str, counter: BoundedCounter) -> str:
-    rows = counter.by_key.most_common(_MOST_ROWS)
-    return table((head, 'COUNT'), rows)
+def _counter_table(heading: str, counter: BoundedCounter) -> str:
+    rows = counter.by_key.most_common(_MAX_ROWS)
+    return table((heading, 'COUNT'), rows)
 
 
-def _stages(summary: Summary) -> str:
+def _stage_table(summary: Summary) -> str:
     rows = [
         (
             name,
             stage.count,
-            *(f'{stage.quantile(percent):.3f}' for percent in _QUANTILES),
+            *(f'{stage.quantile(percent):.3f}' for percent in _PERCENTILES),
         )
         for name, stage in summary.stages_by_name.items()
     ]
-    heads = [f'P{percent} SECONDS' for percent in _QUANTILES]
-    return table(('STAGE', 'COUNT', *heads), rows)
+    headings = [f'P{percent} SECONDS' for percent in _PERCENTILES]
+    return table(('STAGE', 'COUNT', *headings), rows)
 
 
-def _seconds(summary: Summary) -> str:
+def _outcome_table(summary: Summary) -> str:
     names = [name for name, _count in summary.outcomes.by_key.most_common(6)]
     rows = [
         (second, *(summary.by_second[second][name] for name in names))
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""What the log lines of several VMs say about lost requests."""
+"""Tests of the log analysis and of the ``account`` command."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from flamingovalve.account.summary import BoundedCounter, Summary
 
 
-def line(second: float, message: str, **facts: object) -> str:
-    """Give a line as a VM writes it."""
-    moment = f'2026-06-16T06:50:{second:09.6f}'
-    return json.dumps({'time': moment, 'message': message, **facts})
+def line(second: float, message: str, **fields: object) -> str:
+    """Return a log line in the format that a VM writes."""
+    timestamp = f'2026-06-16T06:50:{second:09.6f}'
+    return json.dumps({'time': timestamp, 'message': message, **fields})
 
 
 ENTRY = [
@@ -32,15 +32,15 @@
 
 
 class TestSummary(unittest.TestCase):
-    """Lines that can be read, and others."""
+    """Statistics of valid and invalid log lines."""
 
     def setUp(self) -> None:
-        """Start with nothing read."""
+        """Create an empty summary."""
         self.reader = LineReader()
         self.summary = Summary()
 
     def add(self, vm, lines):
-        """Read the log of a VM."""
+        """Read the log lines of a VM into the summary."""
         self.summary.add_all(self.reader.read(vm, lines))
 
     def test_outcomes_reasons_and_stages(self):
@@ -55,23 +55,30 @@
         self.assertAlmostEqual(waits.quantile(50), 0.2, places=2)
         self.assertEqual(sorted(self.summary.by_second), [0, 1])
 
-    def test_lines_that_cannot_be_read_are_counted(self):
-        """A log was cut in the middle of a line, and others wrote into it."""
-        bad = ['no json', '[1]', ENTRY[0][:40], '{"message": "x"}', '', '{}']
-        self.add('entry', [*bad, *ENTRY])
+    def test_invalid_lines_are_counted(self):
+        """A log holds truncated lines and lines of other programs."""
+        invalid = [
+            'no json',
+            '[1]',
+            ENTRY[0][:40],
+            '{"message": "x"}',
+            '',
+            '{}',
+        ]
+        self.add('entry', [*invalid, *ENTRY])
         counts = self.reader.counts
         self.assertEqual((counts.foreign, counts.undated), (3, 2))
         self.assertEqual(self.summary.outcomes.by_key['broken'], 1)
 
-    def test_clock_that_jumps_is_said(self):
-        """The time of day of a VM was set back by minutes."""
+    def test_clock_set_back_is_counted(self):
+        """The clock of a VM is set back, so later lines have earlier dates."""
         later = line(50, 'request', path='/c', outcome='answered', seconds=1)
         self.add('entry', [later, *ENTRY])
         self.assertEqual(self.reader.counts.backward, 3)
 
-    def test_facts_of_another_type_are_passed_over(self):
-        odd = line(1, 'place', id=7, waited='long', expected=True)
-        self.add('entry', [odd])
+    def test_fields_of_wrong_type_are_ignored(self):
+        invalid = line(1, 'place', id=7, waited='long', expected=True)
+        self.add('entry', [invalid])
         self.assertFalse(self.summary.stages_by_name)
 
     def test_keys_are_bounded(self):
@@ -83,19 +90,19 @@
 
 
 class TestCommand(unittest.TestCase):
-    """The command as operators call it."""
+    """The command, run as a subprocess."""
 
     def setUp(self) -> None:
-        """Write the logs of two VMs."""
-        opened = tempfile.TemporaryDirectory()
-        self.addCleanup(opened.cleanup)
-        self.folder = Path(opened.name)
+        """Write the log files of two VMs."""
+        temporary_directory = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary_directory.cleanup)
+        self.directory = Path(temporary_directory.name)
         for name, lines in (('entry', ENTRY), ('owner', OWNER)):
-            path = self.folder / f'{name}.log'
+            path = self.directory / f'{name}.log'
             path.write_text('\n'.join(lines))
 
-    def run_command(self, *arguments, given=''):
-        """Run ``flamingovalve account`` in the folder of the logs."""
+    def run_command(self, *arguments, standard_input=''):
+        """Run ``flamingovalve account`` in the directory of the logs."""
         root = str(Path(__file__).parent.parent)
         return subprocess.run(
             [
@@ -105,38 +112,44 @@
                 'account',
                 *arguments,
             ],
-            cwd=self.folder,
+            cwd=self.directory,
             env={**os.environ, 'PYTHONPATH': root},
-            input=given,
+            input=standard_input,
             capture_output=True,
             text=True,
             check=False,
         )
 
-    def test_tables_and_picture(self):
-        done = self.run_command('entry.log', 'owner.log', '--plot', 'out.png')
-        self.assertEqual(done.returncode, 0, done.stderr)
-        self.assertIn('NO PLACE BECAUSE', done.stdout)
-        self.assertTrue((self.folder / 'out.png').stat().st_size)
+    def test_tables_and_plot(self):
+        completed = self.run_command(
+            'entry.log', 'owner.log', '--plot', 'out.png'
+        )
+        self.assertEqual(completed.returncode, 0, completed.stderr)
+        self.assertIn('NO PLACE BECAUSE', completed.stdout)
+        self.assertTrue((self.directory / 'out.png').stat().st_size)
 
-    def test_way_of_one_request_in_order(self):
-        done = self.run_command('entry.log', 'owner.log', '--request', 'r1')
-        decisions = [row.split()[2] for row in done.stdout.splitlines()[1:]]
+    def test_lines_of_one_request_are_ordered(self):
+        completed = self.run_command(
+            'entry.log', 'owner.log', '--request', 'r1'
+        )
+        decisions = [
+            row.split()[2] for row in completed.stdout.splitlines()[1:]
+        ]
         self.assertEqual(decisions, ['place', 'send', 'request'])
 
     def test_standard_input(self):
-        done = self.run_command(given='\n'.join(ENTRY))
-        self.assertIn('answered', done.stdout)
-
-    def test_id_that_nowhere_stands(self):
-        done = self.run_command('entry.log', '--request', 'none')
-        self.assertEqual(done.returncode, 1)
-        self.assertIn('none', done.stderr)
-
-    def test_files_that_cannot_be_used(self):
-        done = self.run_command('absent.log')
-        self.assertEqual(done.returncode, 1)
-        self.assertIn('absent.log', done.stderr)
-        done = self.run_command('entry.log', '--plot', 'out.nothing')
-        self.assertEqual(done.returncode, 1)
-        self.assertIn('.png', done.stderr)
+        completed = self.run_command(standard_input='\n'.join(ENTRY))
+        self.assertIn('answered', completed.stdout)
+
+    def test_unknown_request_id(self):
+        completed = self.run_command('entry.log', '--request', 'none')
+        self.assertEqual(completed.returncode, 1)
+        self.assertIn('none', completed.stderr)
+
+    def test_unusable_files(self):
+        completed = self.run_command('absent.log')
+        self.assertEqual(completed.returncode, 1)
+        self.assertIn('absent.log', completed.stderr)
+        completed = self.run_command('entry.log', '--plot', 'out.nothing')
+        self.assertEqual(completed.returncode, 1)
+        self.assertIn('.png', completed.stderr)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,6 +1,6 @@
-"""The log leads from a failed request's id to its cause.
+"""The log lines of a failed request, found by its id, show the cause.
 
-docs/OPERATIONS.md says which lines to look for; these are the lines.
+docs/OPERATIONS.md describes these lines.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 
 
 class TestFailedRequests(unittest.TestCase):
-    """Three kinds of failed request and what is written of them."""
+    """Log lines and metrics of failed requests of several kinds."""
 
     def start(self, **shape: int) -> None:
-        """Start a site and collect what its processes write."""
+        """Start a site and capture the log records of its processes."""
         self.site = Site.started(**shape)
         self.addCleanup(self.site.close)
         self.log = logbook.TestHandler(level=logbook.INFO, bubble=True)
         self.log.push_application()
         self.addCleanup(self.log.pop_application)
 
-    def lines_of(self, call):
-        """Give the facts of every line with the id of a request, by message."""
-        wanted = dict(call.headers)['Attempt-Id']
+    def fields_of(self, call):
+        """Return the fields of the log lines of a request, by message."""
+        request_id = dict(call.headers)['Attempt-Id']
         return {
             record.message: record.extra
             for record in self.log.records
-            if record.extra.get('id') == wanted
+            if record.extra.get('id') == request_id
         }
 
-    def test_broken_off(self):
+    def test_lost_response(self):
         self.start()
         for app in self.site.apps:
             app.lose_answers = 1
         call = self.site.call('/orders/1')
         self.assertEqual(self.site.send('vm-0', call).status, 502)
-        lines = self.lines_of(call)
+        lines = self.fields_of(call)
         self.assertEqual(lines['request']['outcome'], 'outcome_unknown')
         self.assertEqual(lines['send']['outcome'], 'lost')
         self.assertIn(lines['send']['upstream'], {'app-0', 'app-1'})
 
-    def test_metrics_count_it(self):
+    def test_metrics_count_refused_requests(self):
         self.start()
         for app in self.site.apps:
             app.full = True
@@ -57,27 +57,27 @@
         self.assertIn('flamingovalve_members_present 3.0', text)
         self.assertIn('flamingovalve_http_requests_total 1.0', text)
 
-    def test_late(self):
+    def test_deadline_passed(self):
         self.start()
         for app in self.site.apps:
             app.run_seconds = 9
         call = self.site.call('/reads/1')
         self.assertEqual(self.site.send('vm-0', call).status, 504)
-        lines = self.lines_of(call)
+        lines = self.fields_of(call)
         self.assertEqual(lines['request']['outcome'], 'deadline_passed')
         self.assertEqual(lines['send']['outcome'], 'timed_out')
         self.assertEqual(lines['send']['first_event'], 0)
 
-    def test_refused(self):
+    def test_refused_without_place(self):
         self.start(engines=1, slots=1)
         calls = [self.site.chat(f'a{number}') for number in range(12)]
         tasks = [self.site.begin('vm-0', call) for call in calls]
         statuses = [self.site.wait(task).status for task in tasks]
         refused = calls[statuses.index(503)]
-        lines = self.lines_of(refused)
+        lines = self.fields_of(refused)
         self.assertEqual(lines['request']['outcome'], 'overloaded')
         self.assertIn('every place', lines['refused']['reason'])
         self.assertIn('waited', lines['refused'])
-        served = self.lines_of(calls[statuses.index(200)])
-        facts = {'upstream', 'expected', 'waited', 'report_age'}
-        self.assertLessEqual(facts, set(served['place']))
+        served = self.fields_of(calls[statuses.index(200)])
+        fields = {'upstream', 'expected', 'waited', 'report_age'}
+        self.assertLessEqual(fields, set(served['place']))
