--- a/flamingovalve/http/client.py
+++ b/flamingovalve/http/client.py
@@ -81,7 +81,7 @@
 class UpstreamConnection:
     """Connection to an upstream that carries one call at a time.
 
-    :ivar kept_seconds: time for which the upstream keeps it open while idle
+    :ivar kept_seconds: time that the upstream keeps it open while idle
     """
 
     def __init__(self, network: Network, address: str, opened: Socket) -> None:
--- a/flamingovalve/relay/completion.py
+++ b/flamingovalve/relay/completion.py
@@ -95,7 +95,7 @@
         await owner.scheduler.leave(ticket, served=True)
 
     async def _clean_up(self, attempt: Attempt, ticket: Ticket) -> None:
-        """Cancel the request, then free its place in the batch."""
+        """Cancel the request if it may run, then free its place."""
         owner, work = attempt.owner, attempt.work
         try:
             if attempt.may_run:
@@ -289,7 +289,7 @@
         await self._relay.pool.drop(self.owner.engine.address)
         state = await self.owner.api.fencing()
         if self._has_ended(state):
-            # This doesn't prove that the request has ended: the engine may
+            # This does not prove that the request has ended: the engine may
             # have restarted before the request reached it, while this VM
             # knew only the earlier boot. The adapter stays pinned until the
             # engine confirms that the request has ended.
@@ -308,7 +308,7 @@
         Such a response sends nothing until it is complete, which may take
         minutes; a connection that a middlebox has dropped is silent too. The
         engine is asked which of the two it is, and a request that it still
-        runs isn't run again. The deadline of the request ends the wait.
+        runs is not run again. The deadline of the request ends the wait.
         """
         answered = False
         while not answered:
--- a/flamingovalve/relay/quarantine.py
+++ b/flamingovalve/relay/quarantine.py
@@ -61,9 +61,9 @@
     """Finds the requests that crash engines and refuses them.
 
     When an engine crashes, every request that it ran becomes a suspect,
-    although most of them didn't cause the crash. A suspect runs alone on an
+    although most of them did not cause the crash. A suspect runs alone on an
     engine: if that engine crashes too, the request is the cause and is
-    refused from then on; if it succeeds, it is cleared.
+    refused until the quarantine expires; if it succeeds, it is cleared.
     """
 
     def __init__(self, settings: RelaySettings) -> None:
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -87,7 +87,7 @@
         self.assertIn('called "not run" and ran', found[0])
 
     def test_drop_the_incarnation(self):
-        """Without the incarnation check, a restarted executor runs it again.
+        """Without the incarnation check, a new executor repeats a payment.
 
         The new process at the executor's address accepts the permit as its
         own, but has no record of the run.
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -311,7 +311,7 @@
         """A request reaches an engine that has just restarted.
 
         Its owner still knows the earlier boot of the engine. When the stream
-        breaks, the new boot doesn't prove that the request has ended: the
+        breaks, the new boot does not prove that the request has ended: the
         owner would evict the adapter while the request uses it.
         """
         engine = self.fleet.engines_by_id['engine-0']
