--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the outside systems, for tests and the demo."""
+"""Stand-ins for external systems, used by tests, benchmarks and the demo."""
--- a/standins/base.py
+++ b/standins/base.py
@@ -1,4 +1,4 @@
-"""What every stand-in shares: an HTTP server and a way to stop."""
+"""Base class of the stand-ins: an HTTP server and its lifecycle."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class StandIn:
-    """A program that answers HTTP at one address."""
+    """An HTTP server that stands in for an external system."""
 
     def __init__(self, network: Network, address: str) -> None:
-        """Answer at ``address`` once run."""
+        """Create a stand-in that listens at ``address`` when it is run."""
         self.network = network
         self.address = address
         self.server = HttpServer(network, self.respond, LimitSettings())
@@ -28,45 +28,45 @@
         self._serving: curio.Task
 
     async def run(self) -> None:
-        """Serve until stopped or cancelled."""
+        """Serve until ``stopped`` is set or the task is cancelled."""
         await self.open()
         try:
             await self.stopped.wait()
         finally:
-            await self.shut()
+            await self.close()
 
     async def open(self) -> None:
-        """Start to accept connections."""
-        listening = self.network.listen(self.address)
+        """Start accepting connections."""
+        listener = self.network.listen(self.address)
         self._serving = await curio.spawn(
             self.server.serve,
-            listening,
+            listener,
             daemon=True,
         )
 
-    async def shut(self) -> None:
-        """Refuse connections and end those that are open."""
+    async def close(self) -> None:
+        """Stop accepting connections and close the open ones."""
         await self._serving.cancel()
         await self.server.close()
 
     async def respond(self, request: Request, responder: Responder) -> None:
-        """Answer one request."""
+        """Answer one request; ``/control`` is handled here."""
         if request.path == '/control':
             reply = await self.control(json.loads(request.body or b'{}'))
             await responder.send(Response.from_json(reply))
             return
         await self.answer(request, responder)
 
-    async def control(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Set attributes of the stand-in, and give its figures."""
-        for name, setting in order.items():
+    async def control(self, attributes: dict[str, Any]) -> dict[str, Any]:
+        """Set attributes of the stand-in and return its statistics."""
+        for name, setting in attributes.items():
             setattr(self, name, setting)
-        return self.figures()
+        return self.statistics()
 
-    def figures(self) -> dict[str, Any]:
-        """Give what the stand-in has counted."""
+    def statistics(self) -> dict[str, Any]:
+        """Return the counters of the stand-in."""
         return {}
 
     async def answer(self, request: Request, responder: Responder) -> None:
-        """Answer one request of the outside system's protocol."""
+        """Answer one request in the protocol of the external system."""
         raise NotImplementedError
--- a/standins/configuration_service.py
+++ b/standins/configuration_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of the configuration service: values that are read and watched."""
+"""Stand-in for the configuration service: key-value reads and watches."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     from flamingovalve.http.server import Responder
     from flamingovalve.util.network import Network
 
-CALLS_A_SECOND = 2000
-LARGEST_VALUE_BYTES = 1024**2
+MAX_CALLS_PER_SECOND = 2000
+MAX_VALUE_BYTES = 1024**2
 ADAPTERS_PER_PAGE = 2000
 
 _PREFIX = '/v1/keys/'
@@ -36,15 +36,15 @@
 
 
 class ConfigurationServiceStandIn(StandIn):
-    """Serves values; can be down, stale, slow or return rubbish.
+    """Serves values; can be down, stale, slow or return invalid JSON.
 
-    :ivar down: drop every connection
-    :ivar rubbish: answer with bytes that are no JSON
-    :ivar slow_seconds: wait before each answer
+    :ivar down: whether to drop every connection
+    :ivar rubbish: whether to answer with bytes that are not JSON
+    :ivar slow_seconds: delay before each response
     """
 
     def __init__(self, network: Network, address: str) -> None:
-        """Start without values."""
+        """Create a service without values."""
         super().__init__(network, address)
         self.values_by_key: dict[str, PublishedContent] = {}
         self.down = False
@@ -55,19 +55,22 @@
         self._frozen: dict[str, PublishedContent] | None = None
         self._revision = 0
         self._changed = curio.Event()
-        self._bucket = TokenBucket(CALLS_A_SECOND, CALLS_A_SECOND)
+        self._bucket = TokenBucket(MAX_CALLS_PER_SECOND, MAX_CALLS_PER_SECOND)
 
     def put(self, key: str, content: object) -> None:
-        """Publish a value; :meth:`announce` tells the watchers."""
+        """Publish a value without waking its watchers.
+
+        Call :meth:`announce` to wake them.
+        """
         encoded = content
         if not isinstance(encoded, bytes):
             encoded = json.dumps(content).encode()
-        assert len(encoded) <= LARGEST_VALUE_BYTES, f'{key} is too large'
+        assert len(encoded) <= MAX_VALUE_BYTES, f'{key} is too large'
         self._revision += 1
         self.values_by_key[key] = PublishedContent(encoded, self._revision)
 
     async def announce(self) -> None:
-        """Let the watchers look again."""
+        """Wake all watchers so that they re-read their values."""
         changed = self._changed
         self._changed = curio.Event()
         await changed.set()
@@ -77,7 +80,7 @@
         version: int,
         page: dict[str, list[Any]],
     ) -> None:
-        """Publish an inventory, its adapters cut into pages."""
+        """Publish an inventory, with its adapters split into pages."""
         references = []
         for key, part in _pages(version, page):
             encoded = json.dumps(part).encode()
@@ -88,19 +91,19 @@
         self.put('inventory/manifest', manifest)
 
     def freeze(self) -> None:
-        """Go stale: serve what is published now whatever comes later."""
+        """Serve the current values, ignoring later updates, until thawed."""
         self._frozen = dict(self.values_by_key)
 
     def thaw(self) -> None:
-        """Serve the newest values again."""
+        """Serve the latest values again."""
         self._frozen = None
 
-    def figures(self) -> dict[str, Any]:
-        """Give the number of calls."""
+    def statistics(self) -> dict[str, Any]:
+        """Return the number of calls and of rate-limited calls."""
         return {'calls': self.calls, 'refused_calls': self.refused_calls}
 
     async def answer(self, request: Request, responder: Responder) -> None:
-        """Answer a read or a watch; each counts as one call."""
+        """Answer a write, or a read or watch, which counts as one call."""
         if request.method == 'PUT':
             self.put(request.path.removeprefix(_PREFIX), request.body)
             await self.announce()
@@ -115,7 +118,7 @@
             return
         if self.slow_seconds:
             await curio.sleep(self.slow_seconds)
-        published = await self._wait(request)
+        published = await self._wait_for_change(request)
         if self.down:
             raise ConnectionLost('the service went down')
         await responder.send(self._response(published))
@@ -128,16 +131,18 @@
             HTTPStatus.OK, [('x-revision', str(published.revision))], content
         )
 
-    async def _wait(self, request: Request) -> PublishedContent | None:
+    async def _wait_for_change(
+        self, request: Request
+    ) -> PublishedContent | None:
         key = request.path.removeprefix(_PREFIX)
-        known = int(request.query.get('after', '-1'))
-        patience = clock.now() + float(request.query.get('wait', '0'))
+        known_revision = int(request.query.get('after', '-1'))
+        deadline = clock.now() + float(request.query.get('wait', '0'))
         while True:
             served = self._frozen or self.values_by_key
             published = served.get(key)
-            if published is not None and published.revision != known:
+            if published is not None and published.revision != known_revision:
                 return published
-            remaining = patience - clock.now()
+            remaining = deadline - clock.now()
             if remaining <= 0 or self.down:
                 return None
             async with curio.ignore_after(remaining):
@@ -149,8 +154,10 @@
     page: dict[str, list[Any]],
 ) -> list[tuple[str, dict[str, list[Any]]]]:
     adapters = page.get('adapters', [])
-    rest = {name: part for name, part in page.items() if name != 'adapters'}
-    pages = [(f'inventory/{version}/base', rest)]
+    base_content = {
+        name: part for name, part in page.items() if name != 'adapters'
+    }
+    pages = [(f'inventory/{version}/base', base_content)]
     for start in range(0, len(adapters), ADAPTERS_PER_PAGE):
         part = adapters[start : start + ADAPTERS_PER_PAGE]
         key = f'inventory/{version}/adapters-{start}'
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine that serves LoRA adapters."""
+"""Stand-in for a model engine that serves LoRA adapters."""
 
 from __future__ import annotations
 
@@ -31,15 +31,19 @@
 POISON = 'poison'
 DEFAULT_TOKENS = 8
 
-_KEPT_SECONDS = 30
-_REPORTS_KEPT = 200
-_REPORT_SECONDS = 0.25
+_RETENTION_SECONDS = 30
+_MAX_REPORTS = 200
+_REPORT_INTERVAL_SECONDS = 0.25
 _DIGEST_LENGTH = 12
 
 
 @dataclass(eq=False)
 class Generation:
-    """One request that the engine runs or ran."""
+    """A request that the engine is running or has run.
+
+    :ivar progressed: set, and replaced by a new event, whenever an event
+        is added or the generation ends
+    """
 
     request_id: str
     name: str
@@ -49,12 +53,12 @@
     events: list[bytes] = field(default_factory=list)
     ended: bool = False
     cancelled: bool = False
-    grew: curio.Event = field(default_factory=curio.Event)
+    progressed: curio.Event = field(default_factory=curio.Event)
 
 
 @dataclass
-class EngineFigures:
-    """What the engine has counted."""
+class EngineStatistics:
+    """Counters of the engine."""
 
     runs: int = 0
     loads: int = 0
@@ -68,14 +72,15 @@
 
 
 class EngineStandIn(StandIn):
-    """Slots, a batch, orders with or without fencing, streams, crashes.
-
-    :ivar fencing: refuse orders below the highest number seen
-    :ivar token_seconds: time of one step of the batch
-    :ivar report_lag: age of the load report
-    :ivar fail_loads: fail that many next loads
-    :ivar mislabel: name the wrong adapter in that many next answers
-    :ivar cut_streams: break that many next streams in their middle
+    """An engine with adapter slots, a batch, streams and injected faults.
+
+    :ivar fencing: whether to refuse orders with a fencing number below the
+        highest one received
+    :ivar token_seconds: duration of one decoding step
+    :ivar report_lag: minimum age of the load report, in seconds
+    :ivar fail_loads: number of next loads to fail
+    :ivar mislabel: number of next responses that name the wrong adapter
+    :ivar cut_streams: number of next streams to break off midway
     """
 
     def __init__(
@@ -85,7 +90,7 @@
         name: str,
         load: Callable[[str], Awaitable[None]],
     ) -> None:
-        """Load adapters by ``load``."""
+        """Create an engine that reads adapter weights with ``load``."""
         super().__init__(network, address)
         self.name = name
         self.slots = 4
@@ -97,7 +102,7 @@
         self.fail_loads = 0
         self.mislabel = 0
         self.cut_streams = 0
-        self.counted = EngineFigures()
+        self.counted = EngineStatistics()
         self.boot = f'{name}-1'
         self.number = 0
         self.is_up = True
@@ -107,19 +112,19 @@
         self.generations: dict[str, Generation] = {}
         self.runs_by_order: Counter[str] = Counter()
         self._load = load
-        self._seats = curio.Semaphore(self.batch)
+        self._batch_slots = curio.Semaphore(self.batch)
         self._reports: list[tuple[float, dict[str, Any]]] = []
         self._tasks = TaskSet()
 
     def configure(self, slots: int, batch: int, *, fencing: bool) -> None:
-        """Set the sizes before the engine is run."""
+        """Set the capacity; call it before the engine is run."""
         self.slots = slots
         self.batch = batch
         self.fencing = fencing
-        self._seats = curio.Semaphore(batch)
+        self._batch_slots = curio.Semaphore(batch)
 
     async def run(self) -> None:
-        """Serve until stopped."""
+        """Serve and record load reports until stopped."""
         reporting = await curio.spawn(self._report_forever, daemon=True)
         try:
             await super().run()
@@ -127,18 +132,18 @@
             await reporting.cancel()
             await self._tasks.cancel()
 
-    def figures(self) -> dict[str, Any]:
-        """Give what the engine has counted."""
+    def statistics(self) -> dict[str, Any]:
+        """Return the counters of the engine."""
         return asdict(self.counted)
 
-    async def control(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Set attributes, or crash."""
-        if order.pop('crash', False):
+    async def control(self, attributes: dict[str, Any]) -> dict[str, Any]:
+        """Set attributes, and crash if the command says so."""
+        if attributes.pop('crash', False):
             await curio.spawn(self.crash, daemon=True)
-        return await super().control(order)
+        return await super().control(attributes)
 
     async def crash(self) -> None:
-        """Lose everything, and come back with empty slots."""
+        """Drop all state, then restart with empty slots and a new boot id."""
         if not self.is_up:
             return
         self.counted.crashes += 1
@@ -149,16 +154,16 @@
         self.running.clear()
         self.generations.clear()
         self._reports.clear()
-        self._seats = curio.Semaphore(self.batch)
+        self._batch_slots = curio.Semaphore(self.batch)
         self.number = 0
-        await self.shut()
+        await self.close()
         await curio.sleep(self.restart_seconds)
         await self.open()
         self.boot = f'{self.name}-{self.counted.crashes + 1}'
         self.is_up = True
 
     async def answer(self, request: Request, responder: Responder) -> None:
-        """Answer one call of the engine's protocol."""
+        """Answer one call in the protocol of the engine."""
         if not self.is_up:
             raise ConnectionLost('the engine is down')
         routes = {
@@ -170,17 +175,17 @@
             '/v1/completions': self._complete,
         }
         if request.path.startswith('/v1/streams/'):
-            await self._streams(request, responder)
+            await self._handle_stream(request, responder)
             return
         await routes[request.path](request, responder)
 
-    # -- Reports and orders
+    # -- Load reports and orders
 
     async def _report_forever(self) -> None:
         while True:
             self._reports.append((clock.now(), self._snapshot()))
-            del self._reports[:-_REPORTS_KEPT]
-            await curio.sleep(_REPORT_SECONDS)
+            del self._reports[:-_MAX_REPORTS]
+            await curio.sleep(_REPORT_INTERVAL_SECONDS)
 
     def _snapshot(self) -> dict[str, Any]:
         return {
@@ -190,19 +195,23 @@
         }
 
     async def _report(self, _request: Request, responder: Responder) -> None:
-        moment = clock.now()
-        known = [
+        requested_at = clock.now()
+        old_enough = [
             report
             for report in self._reports
-            if report[0] <= moment - self.report_lag
+            if report[0] <= requested_at - self.report_lag
         ]
-        taken_at, report = known[-1] if known else (moment, self._snapshot())
-        content = {**report, 'age_seconds': moment - taken_at}
+        taken_at, report = (
+            old_enough[-1] if old_enough else (requested_at, self._snapshot())
+        )
+        content = {**report, 'age_seconds': requested_at - taken_at}
         await responder.send(Response.from_json(content))
 
     async def _fence(self, request: Request, responder: Responder) -> None:
-        ordered = request.method == 'POST'
-        if ordered and not await self._obeys(request, responder):
+        sets_number = request.method == 'POST'
+        if sets_number and not await self._accepts_fencing_number(
+            request, responder
+        ):
             return
         await responder.send(Response.from_json(self._fencing_state()))
 
@@ -212,7 +221,9 @@
             state['fencing_number'] = self.number
         return state
 
-    async def _obeys(self, request: Request, responder: Responder) -> bool:
+    async def _accepts_fencing_number(
+        self, request: Request, responder: Responder
+    ) -> bool:
         if not self.fencing:
             return True
         number = int(request.headers.get(FENCING_HEADER, '0'))
@@ -229,14 +240,14 @@
         request: Request,
         responder: Responder,
     ) -> None:
-        if not await self._obeys(request, responder):
+        if not await self._accepts_fencing_number(request, responder):
             return
         name = request.json_object()['lora_name']
         if name in self.resident:
             await responder.send(Response.from_json({'loaded': name}))
             return
         if len(self.resident | self.loading) >= self.slots:
-            await _refuse(responder, 'no free slot')
+            await _send_error(responder, 'no free slot')
             return
         self.loading.add(name)
         try:
@@ -245,7 +256,7 @@
             self.loading.discard(name)
         if self.fail_loads:
             self.fail_loads -= 1
-            await _refuse(responder, 'the store failed')
+            await _send_error(responder, 'the store failed')
             return
         self.counted.loads += 1
         self.resident.add(name)
@@ -256,7 +267,7 @@
         request: Request,
         responder: Responder,
     ) -> None:
-        if not await self._obeys(request, responder):
+        if not await self._accepts_fencing_number(request, responder):
             return
         name = request.json_object()['lora_name']
         if self.running[name]:
@@ -272,7 +283,7 @@
         name = content['model']
         if name not in self.resident:
             self.counted.missing_adapter += 1
-            await _refuse(
+            await _send_error(
                 responder, f'{name} is not loaded', HTTPStatus.NOT_FOUND
             )
             return
@@ -287,10 +298,10 @@
         self.generations[generation.request_id] = generation
         await self._tasks.spawn(self._generate, generation)
         if POISON in request.body.decode('utf-8', 'replace'):
-            await curio.spawn(self._poisoned, daemon=True)
+            await curio.spawn(self._crash_after_one_step, daemon=True)
         await self._send(generation, 0, responder)
 
-    async def _poisoned(self) -> None:
+    async def _crash_after_one_step(self) -> None:
         await curio.sleep(self.token_seconds)
         if self.is_up:
             await self.crash()
@@ -298,16 +309,16 @@
     async def _generate(self, generation: Generation) -> None:
         self.counted.runs += 1
         self.running[generation.name] += 1
-        seats = self._seats
+        batch_slots = self._batch_slots
         try:
-            async with seats:
-                await self._steps(generation)
+            async with batch_slots:
+                await self._generate_tokens(generation)
         finally:
             self.running[generation.name] -= 1
-        await curio.sleep(_KEPT_SECONDS)
+        await curio.sleep(_RETENTION_SECONDS)
         self.generations.pop(generation.request_id, None)
 
-    async def _steps(self, generation: Generation) -> None:
+    async def _generate_tokens(self, generation: Generation) -> None:
         last = len(generation.tokens) - 1
         for index, token in enumerate(generation.tokens):
             await curio.sleep(self.token_seconds)
@@ -317,13 +328,13 @@
             self.counted.tokens += 1
             event = self._event(generation, token, final=index == last)
             generation.events.append(event)
-            await self._grow(generation)
+            await self._notify_progress(generation)
         generation.ended = True
-        await self._grow(generation)
+        await self._notify_progress(generation)
 
-    async def _grow(self, generation: Generation) -> None:
-        await generation.grew.set()
-        generation.grew = curio.Event()
+    async def _notify_progress(self, generation: Generation) -> None:
+        await generation.progressed.set()
+        generation.progressed = curio.Event()
 
     async def _send(
         self,
@@ -335,8 +346,8 @@
             await self._stream(generation, offset, responder)
             return
         while not generation.ended:
-            await generation.grew.wait()
-        await responder.send(self._whole(generation))
+            await generation.progressed.wait()
+        await responder.send(self._full_response(generation))
 
     async def _stream(
         self,
@@ -344,45 +355,50 @@
         offset: int,
         responder: Responder,
     ) -> None:
-        headers = [('content-type', EVENT_STREAM_TYPE), *_names(generation)]
+        headers = [
+            ('content-type', EVENT_STREAM_TYPE),
+            *_identity_headers(generation),
+        ]
         await responder.start(HTTPStatus.OK, headers)
-        cut = self.cut_streams > 0 and offset == 0
-        if cut:
+        breaks_off = self.cut_streams > 0 and offset == 0
+        if breaks_off:
             self.cut_streams -= 1
         ended = False
         while not ended:
-            grew = generation.grew
+            progressed = generation.progressed
             ended = generation.ended
             for event in generation.events[offset:]:
                 offset += 1
-                if cut and offset > 2:
+                if breaks_off and offset > 2:
                     await responder.chunk(event[: len(event) // 2])
                     raise ConnectionLost('the stream was cut')
                 await responder.chunk(event)
             if not ended:
-                await grew.wait()
+                await progressed.wait()
         if generation.cancelled:
             raise ConnectionLost('the request was cancelled')
         await responder.chunk(b'data: [DONE]\n\n')
         await responder.end()
 
-    async def _streams(self, request: Request, responder: Responder) -> None:
+    async def _handle_stream(
+        self, request: Request, responder: Responder
+    ) -> None:
         request_id = request.path.removeprefix('/v1/streams/')
         generation = self.generations.get(request_id)
         if request.method == 'DELETE':
             if generation is not None:
                 generation.cancelled = True
                 while not generation.ended:
-                    await generation.grew.wait()
+                    await generation.progressed.wait()
             await responder.send(Response.from_json({'cancelled': True}))
             return
         if generation is None:
-            await _refuse(responder, 'no such stream', HTTPStatus.NOT_FOUND)
+            await _send_error(responder, 'no such stream', HTTPStatus.NOT_FOUND)
             return
         offset = int(request.query.get('offset', '0'))
         await self._send(generation, offset, responder)
 
-    def _label(self, generation: Generation) -> str:
+    def _model_label(self, generation: Generation) -> str:
         if self.mislabel:
             self.mislabel -= 1
             return 'somebody-else@1'
@@ -402,10 +418,10 @@
         else:
             choice['text'] = token
         kind = 'chat.completion.chunk' if generation.chat else 'text_completion'
-        content = self._object(generation, kind, choice)
+        content = self._completion_object(generation, kind, choice)
         return f'data: {json.dumps(content)}\n\n'.encode()
 
-    def _whole(self, generation: Generation) -> Response:
+    def _full_response(self, generation: Generation) -> Response:
         text = ''.join(generation.tokens)
         choice: dict[str, Any] = {'index': 0, 'finish_reason': 'stop'}
         if generation.chat:
@@ -413,16 +429,18 @@
         else:
             choice['text'] = text
         kind = 'chat.completion' if generation.chat else 'text_completion'
-        content = self._object(generation, kind, choice)
+        content = self._completion_object(generation, kind, choice)
         count = len(generation.tokens)
         content['usage'] = {
             'prompt_tokens': 1,
             'completion_tokens': count,
             'total_tokens': count + 1,
         }
-        return Response.from_json(content, HTTPStatus.OK, _names(generation))
+        return Response.from_json(
+            content, HTTPStatus.OK, _identity_headers(generation)
+        )
 
-    def _object(
+    def _completion_object(
         self,
         generation: Generation,
         kind: str,
@@ -432,16 +450,16 @@
             'id': f'cmpl-{generation.request_id}',
             'object': kind,
             'created': 0,
-            'model': self._label(generation),
+            'model': self._model_label(generation),
             'choices': [choice],
         }
 
 
 def tokens_of(name: str, content: dict[str, Any]) -> list[str]:
-    """Give the tokens that an adapter answers to a request.
+    """Return the tokens that an adapter generates for a request.
 
-    They depend on adapter, version and prompt, so that a checker can tell
-    whether an answer is whole and whose it is.
+    They depend on the adapter, its version and the prompt, so that a test
+    can check that a response is complete and belongs to its request.
     """
     prompt = json.dumps(content.get('messages') or content.get('prompt'))
     digest = hashlib.sha256(f'{name}\0{prompt}'.encode()).hexdigest()[
@@ -451,14 +469,14 @@
     return [f'{name}/{digest}/{index} ' for index in range(count)]
 
 
-def _names(generation: Generation) -> list[tuple[str, str]]:
+def _identity_headers(generation: Generation) -> list[tuple[str, str]]:
     return [
         ('x-adapter', generation.name),
         ('x-request-id', generation.request_id),
     ]
 
 
-async def _refuse(
+async def _send_error(
     responder: Responder,
     reason: str,
     status: int = HTTPStatus.SERVICE_UNAVAILABLE,
--- a/standins/plain_service.py
+++ b/standins/plain_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service: counts how often each call ran."""
+"""Stand-in for a plain service that counts the runs of each call."""
 
 from __future__ import annotations
 
@@ -18,15 +18,17 @@
 
 
 class PlainServiceStandIn(StandIn):
-    """Runs calls and remembers each run.
+    """Runs calls and counts the runs by idempotency key and by order.
 
-    :ivar run_seconds: how long a run takes
-    :ivar drop_before_run: break that many next connections before the run
-    :ivar drop_after_run: break that many next connections after the run
+    :ivar run_seconds: duration of a run
+    :ivar drop_before_run: number of next calls whose connection is dropped
+        before the run
+    :ivar drop_after_run: number of next calls whose connection is dropped
+        after the run
     """
 
     def __init__(self, network: Network, address: str) -> None:
-        """Start without any run."""
+        """Create a service that has run nothing."""
         super().__init__(network, address)
         self.runs_by_key: Counter[str] = Counter()
         self.runs_by_order: Counter[str] = Counter()
@@ -34,8 +36,8 @@
         self.drop_before_run = 0
         self.drop_after_run = 0
 
-    def figures(self) -> dict[str, Any]:
-        """Give the number of runs."""
+    def statistics(self) -> dict[str, Any]:
+        """Return the number of keys and of runs."""
         return {
             'keys': len(self.runs_by_key),
             'runs': sum(self.runs_by_key.values()),
--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's upstreams: plain ones and engines."""
+"""Stand-ins for the upstreams of the platform: plain ones and engines."""
 
 from __future__ import annotations
 
@@ -17,15 +17,16 @@
     from flamingovalve.http.server import Responder
     from flamingovalve.util.network import Network
 
-_EVENT_SECONDS = 0.05
-_EVENTS = 4
+_EVENT_INTERVAL_SECONDS = 0.05
+_EVENT_COUNT = 4
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedOrder:
     """An order that an engine did not refuse.
 
-    :ivar at: when it came, on the world's clock
+    :ivar at: time of receipt, on the virtual clock
+    :ivar fence: fencing number of the order
     """
 
     at: float
@@ -34,16 +35,17 @@
 
 
 class PlatformRunnerStandIn(StandIn):
-    """A plain upstream that counts how often each request ran.
+    """A plain upstream that counts the runs of each request.
 
-    :ivar runs_by_request: runs by the caller's name of the request
-    :ivar failures: status with which that many next requests fail
-    :ivar lose_answers: run that many next requests, then break off
-    :ivar full: refuse everything as not run
+    :ivar runs_by_request: number of runs by attempt id
+    :ivar failures: number of next requests that fail with status 500
+    :ivar lose_answers: number of next requests that run, but whose
+        connection is dropped before the response
+    :ivar full: whether to refuse every request as not executed
     """
 
     def __init__(self, network: Network, address: str, name: str) -> None:
-        """Start without any run."""
+        """Create an upstream that has run nothing."""
         super().__init__(network, address)
         self.name = name
         self.runs_by_request: Counter[str] = Counter()
@@ -54,9 +56,9 @@
         self.full = False
 
     async def answer(self, request: Request, responder: Responder) -> None:
-        """Run one request, unless it is for somebody else."""
-        meant = request.headers.get('expect-instance', self.name)
-        if meant != self.name:
+        """Run one request, unless it expects another instance."""
+        expected_instance = request.headers.get('expect-instance', self.name)
+        if expected_instance != self.name:
             headers = [('Instance', self.name)]
             await responder.send(Response(421, headers))
         elif self.full:
@@ -69,8 +71,8 @@
         request: Request,
         responder: Responder,
     ) -> None:
-        """Run one request and answer it whole."""
-        self.note_run(request)
+        """Run one request and send a complete response."""
+        self.record_run(request)
         await curio.sleep(self.run_seconds)
         if self.lose_answers:
             self.lose_answers -= 1
@@ -80,15 +82,17 @@
             self.failures -= 1
             status = 500
         body = f'{self.name} ran {request.target}'.encode()
-        await responder.send(Response(status, self.signed(request), body))
+        await responder.send(
+            Response(status, self.identity_headers(request), body)
+        )
 
-    def note_run(self, request: Request) -> None:
+    def record_run(self, request: Request) -> None:
         """Count one run."""
         self.headers_seen.append(request.headers)
         self.runs_by_request[request.headers.get('attempt-id', '')] += 1
 
-    def signed(self, request: Request) -> list[tuple[str, str]]:
-        """Give the headers that mark an answer as this upstream's."""
+    def identity_headers(self, request: Request) -> list[tuple[str, str]]:
+        """Return the headers that identify a response as this upstream's."""
         return [
             ('Attempt-Id', request.headers.get('attempt-id', '')),
             ('Response-Seal', f'seal-of-{self.name}'),
@@ -96,17 +100,19 @@
 
 
 class PlatformEngineStandIn(PlatformRunnerStandIn):
-    """An engine that obeys orders and streams events.
-
-    :ivar orders: every order that was carried out: holder, fence, what
-    :ivar accepted: every order that was not refused, also one for an
-        adapter that was on its way already
-    :ivar refused_orders: orders for adapters that the model does not have
-    :ivar refuses_versions: refuse orders that name a version
-    :ivar order_seconds: what an order takes to be answered
-    :ivar dropped_orders: lose that many next orders
-    :ivar crashes: times that it was ordered to hold too much
-    :ivar break_after: break the next run after that many events; 0 never
+    """An engine that executes load and unload orders and streams events.
+
+    :ivar orders: every executed order: holder, fencing number, description
+    :ivar accepted: every order that was not refused, including one for an
+        adapter that was already loading
+    :ivar refused_orders: number of orders refused because the adapter is
+        unknown or the order names a version that may not be named
+    :ivar refuses_versions: whether to refuse orders that name a version
+    :ivar order_seconds: delay before an order is answered
+    :ivar dropped_orders: number of next orders to drop
+    :ivar crashes: number of load orders that exceeded the adapter slots
+    :ivar break_after: number of events after which the next run is broken
+        off; 0 for never
     """
 
     def __init__(
@@ -116,12 +122,12 @@
         name: str,
         slots: int = 2,
     ) -> None:
-        """Start with the base model and no adapter."""
+        """Create an engine that holds the base model and no adapter."""
         super().__init__(network, address, name)
         self.slots = slots
         self.models = ['base']
         self.resident: dict[str, int] = {}
-        self.coming: dict[str, int] = {}
+        self.loading: dict[str, int] = {}
         self.newest = 1
         self.sequence = 0
         self.orders: list[tuple[str, int, str]] = []
@@ -135,7 +141,7 @@
         self.load_seconds = 0.25
 
     async def answer(self, request: Request, responder: Responder) -> None:
-        """Report, obey, or run."""
+        """Answer a report or an order, or run a request."""
         if request.path == '/report':
             await responder.send(Response.from_json(self.report()))
         elif request.path == '/order':
@@ -149,53 +155,59 @@
             await super().answer(request, responder)
 
     def report(self) -> dict[str, Any]:
-        """Give what the engine holds."""
-        adapters = [f'{name}@{held}' for name, held in self.resident.items()]
+        """Return the load report of the engine."""
+        adapters = [
+            f'{name}@{resident_version}'
+            for name, resident_version in self.resident.items()
+        ]
         models = [{'Name': name, 'Adapters': adapters} for name in self.models]
         return {
             'Models': models,
             'Seq': self.sequence,
             'Coming': [
-                f'base/{name}@{due}' for name, due in self.coming.items()
+                f'base/{name}@{version}'
+                for name, version in self.loading.items()
             ],
             'born': 1,
         }
 
     async def obey(self, order: dict[str, Any]) -> int:
-        """Carry out an order; give the status that answers it."""
+        """Execute an order and return the HTTP status of its response."""
         name = order.get('Adapter', '')
-        if name in self.coming:
-            self._note_accepted(order)
+        if name in self.loading:
+            self._record_accepted(order)
             return 202
         if order.get('Precondition') != self.sequence:
             return 409
-        odd = self.refuses_versions and 'Version' in order
-        if odd or name.startswith('unknown'):
+        is_unsupported = self.refuses_versions and 'Version' in order
+        if is_unsupported or name.startswith('unknown'):
             self.refused_orders += 1
             return 400
         self.sequence += 1
-        self._note_accepted(order)
-        what = f'{order["Op"]} {name or order["Model"]}'
-        self.orders.append((order['Holder'], order['FencingToken'], what))
+        self._record_accepted(order)
+        description = f'{order["Op"]} {name or order["Model"]}'
+        self.orders.append(
+            (order['Holder'], order['FencingToken'], description)
+        )
         if order['Op'] == 'unload':
             self.resident.pop(name, None)
             return 200
         if not name:
             await curio.spawn(self._load_model, order['Model'], daemon=True)
             return 202
-        if len({*self.resident, *self.coming, name}) > self.slots:
+        if len({*self.resident, *self.loading, name}) > self.slots:
             self.crashes += 1
-        self.coming[name] = order.get('Version', self.newest)
+        self.loading[name] = order.get('Version', self.newest)
         await curio.spawn(self._load, name, daemon=True)
         return 202
 
-    def _note_accepted(self, order: dict[str, Any]) -> None:
+    def _record_accepted(self, order: dict[str, Any]) -> None:
         holder, fence = order['Holder'], order['FencingToken']
         self.accepted.append(AcceptedOrder(clock.now(), holder, fence))
 
     async def _load(self, name: str) -> None:
         await curio.sleep(self.load_seconds)
-        self.resident[name] = self.coming.pop(name)
+        self.resident[name] = self.loading.pop(name)
 
     async def _load_model(self, name: str) -> None:
         await curio.sleep(self.load_seconds)
@@ -206,19 +218,22 @@
         request: Request,
         responder: Responder,
     ) -> None:
-        """Stream some events, if the adapter is there."""
+        """Stream events, if the expected adapter version is resident."""
         _model, _slash, adapter = request.headers['model'].partition('/')
-        wanted = int(request.headers.get('expect-version', 0))
-        held = self.resident.get(adapter, 0)
-        if adapter and (not held or wanted not in {0, held}):
+        expected_version = int(request.headers.get('expect-version', 0))
+        resident_version = self.resident.get(adapter, 0)
+        if adapter and (
+            not resident_version
+            or expected_version not in {0, resident_version}
+        ):
             await responder.send(Response(421, [('Not-Executed', '1')]))
             return
-        self.note_run(request)
-        await responder.start(200, self.signed(request))
-        first = int(request.headers.get('last-event-id', 0))
-        for number in range(first + 1, _EVENTS + 1):
-            await curio.sleep(_EVENT_SECONDS)
-            if self.break_after and number > first + self.break_after:
+        self.record_run(request)
+        await responder.start(200, self.identity_headers(request))
+        last_event_id = int(request.headers.get('last-event-id', 0))
+        for number in range(last_event_id + 1, _EVENT_COUNT + 1):
+            await curio.sleep(_EVENT_INTERVAL_SECONDS)
+            if self.break_after and number > last_event_id + self.break_after:
                 self.break_after = 0
                 raise ConnectionLost('broken off')
             event = f'id: {number}\ndata: {adapter} {number}\n\n'
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store: what operators and upstreams publish."""
+"""Stand-in for the platform's store of published items."""
 
 from __future__ import annotations
 
@@ -15,18 +15,21 @@
     from flamingovalve.http.server import Responder
     from flamingovalve.util.network import Network
 
-_POLL_SECONDS = 0.02
+_POLL_INTERVAL_SECONDS = 0.02
 
 
 class PlatformStoreStandIn(StandIn):
-    """Items with revisions, read by prefix or watched.
+    """A store of items with revisions that are listed or watched by prefix.
+
+    It holds what operators and upstreams publish.
 
     :ivar refusal: status with which every call is refused; 0 for none
-    :ivar oldest: history at or below this revision is gone
+    :ivar oldest: watches that start below this revision are answered 410
+        because their history has been compacted
     """
 
     def __init__(self, network: Network, address: str) -> None:
-        """Start empty."""
+        """Create an empty store."""
         super().__init__(network, address)
         self.revision = 10
         self.items_by_key: dict[str, tuple[int, bytes]] = {}
@@ -36,30 +39,30 @@
         self.calls = 0
 
     def put(self, key: str, content: object) -> None:
-        """Publish one item."""
+        """Publish an item as JSON."""
         self.put_bytes(key, json.dumps(content).encode())
 
     def put_bytes(self, key: str, content: bytes) -> None:
-        """Publish bytes of any kind."""
+        """Publish an item as raw bytes, which need not be JSON."""
         self.revision += 1
         self.items_by_key[key] = (self.revision, content)
         self.tombstones_by_key.pop(key, None)
 
     def delete(self, key: str) -> None:
-        """Take an item away."""
+        """Delete an item and leave a tombstone."""
         self.revision += 1
         if self.items_by_key.pop(key, None) is not None:
             self.tombstones_by_key[key] = self.revision
 
     async def answer(self, request: Request, responder: Responder) -> None:
-        """Answer a read or a watch."""
+        """Answer a list or a watch call."""
         self.calls += 1
         query = {'PathPrefix': '', **request.query}
         if self.refusal:
             await responder.send(Response(self.refusal))
         elif request.path == '/kv-range':
-            listed = self._listed(query['PathPrefix'])
-            reply = {'items': listed, 'MorePages': False}
+            entries = self._entries(query['PathPrefix'])
+            reply = {'items': entries, 'MorePages': False}
             await self._reply(responder, reply)
         elif int(query['after']) < self.oldest:
             await responder.send(Response(410))
@@ -74,7 +77,7 @@
         after = int(query['after'])
         async with curio.ignore_after(int(query['WaitMs']) / 1000):
             while not self._events(query['PathPrefix'], after):
-                await curio.sleep(_POLL_SECONDS)
+                await curio.sleep(_POLL_INTERVAL_SECONDS)
         events = self._events(query['PathPrefix'], after)
         await self._reply(responder, {'events': events})
 
@@ -86,7 +89,7 @@
         reply['StoreRevision'] = self.revision
         await responder.send(Response.from_json(reply))
 
-    def _listed(self, prefix: str, after: int = 0) -> list[dict[str, Any]]:
+    def _entries(self, prefix: str, after: int = 0) -> list[dict[str, Any]]:
         return [
             {
                 'Key': key,
@@ -98,10 +101,10 @@
         ]
 
     def _events(self, prefix: str, after: int) -> list[dict[str, Any]]:
-        gone = [
+        tombstones = [
             {'Key': key, 'Revision': revision, 'Tombstone': True}
             for key, revision in self.tombstones_by_key.items()
             if key.startswith(prefix) and revision > after
         ]
-        events = [*self._listed(prefix, after), *gone]
+        events = [*self._entries(prefix, after), *tombstones]
         return sorted(events, key=lambda event: event['Revision'])
--- a/standins/run.py
+++ b/standins/run.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in as a program: ``python -m standins.run KIND ADDRESS``."""
+"""Command to run a stand-in: ``python -m standins.run KIND ADDRESS``."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from standins.plain_service import PlainServiceStandIn
 from standins.weight_store import WeightStoreStandIn
 
-_LOAD_SECONDS = 60
+_LOAD_TIMEOUT_SECONDS = 60
 
 
 @dataclass
@@ -39,21 +39,24 @@
 
 
 class RemoteStore:
-    """Loads adapters from a weight store that is a program of its own."""
+    """Client of a weight store that runs in another process."""
 
     def __init__(self, network: Network, address: str) -> None:
-        """Load from the store at ``address``."""
+        """Create a client of the store at ``address``."""
         self._pool = ConnectionPool(network, RelaySettings())
         self._address = address
 
     async def load(self, adapter: str) -> None:
-        """Wait until the store has given an adapter."""
+        """Load an adapter; returns when the store has sent it."""
         call = UpstreamCall('POST', f'/load/{adapter}', [])
-        await self._pool.exchange(self._address, call, _LOAD_SECONDS)
+        await self._pool.exchange(self._address, call, _LOAD_TIMEOUT_SECONDS)
 
 
 def build(arguments: Arguments) -> StandIn:
-    """Build the stand-in that the arguments name."""
+    """Build the stand-in that the arguments describe.
+
+    :raises cappa.Exit: if the kind is unknown
+    """
     network = Network()
     if arguments.kind == 'configuration':
         return ConfigurationServiceStandIn(network, arguments.address)
@@ -62,11 +65,11 @@
     if arguments.kind == 'service':
         return PlainServiceStandIn(network, arguments.address)
     if arguments.kind == 'engine':
-        return _engine(arguments, network)
-    raise cappa.Exit(f'no stand-in {arguments.kind!r}', code=2)
+        return _build_engine(arguments, network)
+    raise cappa.Exit(f'unknown kind of stand-in: {arguments.kind!r}', code=2)
 
 
-def _engine(arguments: Arguments, network: Network) -> EngineStandIn:
+def _build_engine(arguments: Arguments, network: Network) -> EngineStandIn:
     store = RemoteStore(network, arguments.store)
     engine = EngineStandIn(
         network,
@@ -83,7 +86,7 @@
 
 
 def run(arguments: Arguments) -> None:
-    """Run until the process is ended."""
+    """Run until the process is terminated."""
     curio.run(build(arguments).run)
 
 
--- a/standins/weight_store.py
+++ b/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the weight store: how long a load takes."""
+"""Stand-in for the weight store: models the duration of loads."""
 
 from __future__ import annotations
 
@@ -16,27 +16,30 @@
     from flamingovalve.util.network import Network
 
 LOAD_SECONDS = 0.25
-FULL_SPEED_LOADS = 8
+MAX_FULL_SPEED_LOADS = 8
 SECONDS_BETWEEN_LOADS = 0.5
 
 
 class StoreModel(Enum):
-    """The two readings of how the store is limited."""
+    """The two interpretations of how the store limits loads."""
 
     PARALLEL = 'parallel'
     SPACED = 'spaced'
 
 
 class WeightStore:
-    """Times loads.
+    """Models the duration of loads.
 
-    The parallel reading: a quarter of a second each while no more than 8
-    are in flight, proportionally longer beyond that. The spaced reading:
-    besides, only 2 loads begin a second.
+    With ``PARALLEL``, a load takes 0.25 s while at most 8 are in flight, and
+    proportionally longer with more. With ``SPACED``, in addition, only 2
+    loads start per second.
+
+    :ivar slowdown: factor on the duration of every load
+    :ivar most_loading: highest number of loads in flight
     """
 
     def __init__(self, model: StoreModel = StoreModel.PARALLEL) -> None:
-        """Time loads by ``model``."""
+        """Create an idle store that follows ``model``."""
         self.model = model
         self.slowdown = 1.0
         self.loading = 0
@@ -45,18 +48,18 @@
         self._next_start = 0.0
 
     async def load(self) -> None:
-        """Take as long as one load takes now."""
+        """Sleep for the duration of one load under the current concurrency."""
         self.loading += 1
         self.loads += 1
         self.most_loading = max(self.most_loading, self.loading)
         try:
-            await self._wait_turn()
-            crowd = max(1.0, self.loading / FULL_SPEED_LOADS)
-            await curio.sleep(LOAD_SECONDS * crowd * self.slowdown)
+            await self._wait_for_start()
+            contention = max(1.0, self.loading / MAX_FULL_SPEED_LOADS)
+            await curio.sleep(LOAD_SECONDS * contention * self.slowdown)
         finally:
             self.loading -= 1
 
-    async def _wait_turn(self) -> None:
+    async def _wait_for_start(self) -> None:
         if self.model is StoreModel.PARALLEL:
             return
         start = max(self._next_start, clock.now())
@@ -65,21 +68,21 @@
 
 
 class WeightStoreStandIn(StandIn):
-    """The weight store as a program of its own."""
+    """A weight store that serves loads over HTTP."""
 
     def __init__(self, network: Network, address: str) -> None:
-        """Serve loads at ``address``."""
+        """Create a store that listens at ``address``."""
         super().__init__(network, address)
         self.store = WeightStore()
 
-    def figures(self) -> dict[str, Any]:
-        """Give the number of loads."""
+    def statistics(self) -> dict[str, Any]:
+        """Return the number of loads and the peak of concurrent loads."""
         return {
             'loads': self.store.loads,
             'most_loading': self.store.most_loading,
         }
 
     async def answer(self, request: Request, responder: Responder) -> None:
-        """Answer once the adapter would have been read."""
+        """Answer after the modelled load time of the adapter."""
         await self.store.load()
         await responder.send(Response.from_json({'loaded': request.path}))
