--- a/benchmarks/bound.py
+++ b/benchmarks/bound.py
@@ -1,9 +1,9 @@
-"""A bound: the same arrivals with the future known.
+"""Lower bound of load stalls: Belady's offline-optimal eviction.
 
-All slots of a model are one pool, nothing is pinned, seats are unlimited and
-the victim is the adapter whose next request is furthest away (Belady). Only
-the store's time for a load remains. No policy on the real system does better
-without loading before a request asks.
+All slots of a model form one pool, no adapter is pinned, batches are
+unlimited, and the victim is the adapter whose next request is furthest in the
+future. Only the load time of the store remains. No online policy does better
+unless it prefetches adapters before they are requested.
 """
 
 from __future__ import annotations
@@ -22,7 +22,10 @@
 
 @dataclass
 class Bound:
-    """What the clairvoyant policy reaches."""
+    """Loads and stalls of the clairvoyant policy.
+
+    :ivar stalled: number of requests that waited for a load
+    """
 
     loads: int = 0
     stalled: int = 0
@@ -30,38 +33,42 @@
 
 
 def clairvoyant(load: list[Arrival], slots: int) -> Bound:
-    """Run Belady's policy over ``load`` with ``slots`` in all."""
-    uses: dict[int, list[float]] = defaultdict(list)
+    """Run Belady's policy over ``load`` with ``slots`` slots in total."""
+    uses_by_adapter: dict[int, list[float]] = defaultdict(list)
     for arrival in reversed(load):
-        uses[arrival.adapter].append(arrival.at)
+        uses_by_adapter[arrival.adapter].append(arrival.at)
     ready_at: dict[int, float] = {}
-    furthest: list[tuple[float, int]] = []
+    next_uses: list[tuple[float, int]] = []
     bound = Bound()
     for arrival in load:
         adapter = arrival.adapter
-        uses[adapter].pop()
+        uses_by_adapter[adapter].pop()
         if adapter not in ready_at:
             if len(ready_at) >= slots:
-                _evict(ready_at, furthest, uses)
+                _evict(ready_at, next_uses, uses_by_adapter)
             ready_at[adapter] = arrival.at + LOAD_SECONDS
             bound.loads += 1
         wait = ready_at[adapter] - arrival.at
         if wait > 0:
             bound.stalled += 1
             bound.stall_seconds += wait
-        following = uses[adapter][-1] if uses[adapter] else _NEVER
-        heapq.heappush(furthest, (-following, adapter))
+        next_use = (
+            uses_by_adapter[adapter][-1] if uses_by_adapter[adapter] else _NEVER
+        )
+        heapq.heappush(next_uses, (-next_use, adapter))
     return bound
 
 
 def _evict(
     ready_at: dict[int, float],
-    furthest: list[tuple[float, int]],
-    uses: dict[int, list[float]],
+    next_uses: list[tuple[float, int]],
+    uses_by_adapter: dict[int, list[float]],
 ) -> None:
-    while furthest:
-        following, adapter = heapq.heappop(furthest)
-        current = uses[adapter][-1] if uses[adapter] else _NEVER
-        if adapter in ready_at and -following == current:
+    while next_uses:
+        next_use, adapter = heapq.heappop(next_uses)
+        current_next_use = (
+            uses_by_adapter[adapter][-1] if uses_by_adapter[adapter] else _NEVER
+        )
+        if adapter in ready_at and -next_use == current_next_use:
             del ready_at[adapter]
             return
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,7 @@
-"""Slopes behind docs/CAPACITY.md: ``make capacity``.
+"""Measures the slopes in docs/CAPACITY.md: ``make capacity``.
 
-Prints, for each figure that the page works with, what was measured, over
-which range, the fitted line and its error, and the value at the target size.
+Prints, for each figure on that page, the measurements, their range, the
+fitted line with its error, and the extrapolation to the target size.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 def main() -> None:
-    """Measure and print every table."""
+    """Run all measurements and print their tables."""
     _print_memory()
     _print_times()
     print_costs([idle_cost(size) for size in SIZES])
@@ -62,7 +62,9 @@
         ('claim records', _claims, (1000, 5000, 20_000), 20_000),
         ('popularity of adapters in use', _popularity, (500, 2000, 8000), 8000),
     ):
-        points = [(float(size), _bytes(build, size)) for size in sizes]
+        points = [
+            (float(size), _allocated_bytes(build, size)) for size in sizes
+        ]
         fit = Fit.through(points)
         rows.append(
             (
@@ -78,13 +80,13 @@
     print()
 
 
-def _bytes(build: Callable[[int], Any], size: int) -> float:
+def _allocated_bytes(build: Callable[[int], Any], size: int) -> float:
     tracemalloc.start()
-    kept = build(size)
-    held, _peak = tracemalloc.get_traced_memory()
+    structure = build(size)
+    allocated_bytes, _peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
-    return float(held)
+    del structure
+    return float(allocated_bytes)
 
 
 def _adapters(size: int) -> Any:
@@ -147,7 +149,7 @@
     members = _members(NODES)
     queue = _rumour_queue()
     adapters = _adapters(ADAPTERS)
-    chance = random.Random(1)
+    rng = random.Random(1)
     datagram = messages.Datagram(
         VmId('vm-1'),
         Incarnation(1),
@@ -159,7 +161,7 @@
     rows = [
         _timed(
             f'first 8 of {len(engines)} engines, not cached',
-            lambda: hashing.first(f'a{chance.random()}', engines, 8),
+            lambda: hashing.first(f'a{rng.random()}', engines, 8),
         ),
         _timed(
             f'order of {NODES} VMs for an engine, weights cached',
@@ -167,9 +169,12 @@
         ),
         _timed(
             f'look-up among {ADAPTERS} adapters',
-            lambda: adapters.find(f'customer-{chance.randrange(ADAPTERS):06d}'),
+            lambda: adapters.find(f'customer-{rng.randrange(ADAPTERS):06d}'),
+        ),
+        _timed(
+            'present VMs of 760, after a change',
+            lambda: _recompute_present(members),
         ),
-        _timed('present VMs of 760, after a change', lambda: _recount(members)),
         _timed(
             'rumours for a datagram, 400 waiting', lambda: queue.take(8, NODES)
         ),
@@ -186,7 +191,7 @@
     print()
 
 
-def _recount(members: MemberTable) -> Any:
+def _recompute_present(members: MemberTable) -> Any:
     members.epoch += 1
     members.invalidate_present()
     return members.present_ids()
@@ -206,13 +211,13 @@
     return queue
 
 
-def _timed(name: str, work: Callable[[], Any]) -> tuple[str, str]:
-    work()
+def _timed(name: str, operation: Callable[[], Any]) -> tuple[str, str]:
+    operation()
     started_at = time.process_time()
     for _repeat in range(_REPEATS):
-        work()
-    taken = (time.process_time() - started_at) / _REPEATS
-    return name, f'{taken * 1e6:.1f}'
+        operation()
+    mean_seconds = (time.process_time() - started_at) / _REPEATS
+    return name, f'{mean_seconds * 1e6:.1f}'
 
 
 if __name__ == '__main__':
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,7 +1,8 @@
-"""Control cost and settling against fleet size: ``python -m benchmarks.control``.
+"""Control-plane cost and settling time: ``python -m benchmarks.control``.
 
-Whole daemons on the virtual clock. The processor time is that of the whole
-rig divided by its VMs, so it is an upper limit for one VM.
+Runs whole daemons on the virtual clock, for several fleet sizes. The
+processor time is that of the whole test rig divided by the number of VMs, so
+it is an upper bound for one VM.
 """
 
 from __future__ import annotations
@@ -15,14 +16,18 @@
 from tests.rig.fleet import Fleet, Shape
 
 SIZES = (5, 10, 20, 50, 100)
-SECONDS = 60
+MEASURE_SECONDS = 60
 WATCH_SECONDS = 60
 DOMAINS = ('korangi', 'site-area', 'landhi', 'port-qasim')
 
 
 @dataclass
 class Cost:
-    """What one VM spends on control."""
+    """Control-plane cost of one VM, per second.
+
+    :ivar vms: size of the fleet
+    :ivar processor: share of a core
+    """
 
     vms: int
     messages: float
@@ -32,7 +37,10 @@
 
 @dataclass
 class Fit:
-    """A straight line through measured points, by least squares."""
+    """A least-squares line through measured points.
+
+    :ivar error: largest relative error
+    """
 
     intercept: float
     slope: float
@@ -40,38 +48,38 @@
 
     @classmethod
     def through(cls, points: list[tuple[float, float]]) -> Fit:
-        """Fit a line; the error is the largest relative miss."""
+        """Fit a line through points of size and figure."""
         line = statistics.linear_regression(*zip(*points, strict=True))
-        misses = [
+        errors = [
             abs(line.intercept + line.slope * size - figure) / figure
             for size, figure in points
             if figure
         ]
-        return cls(line.intercept, line.slope, max(misses, default=0))
+        return cls(line.intercept, line.slope, max(errors, default=0))
 
     def at(self, size: float) -> float:
-        """Give the value of the line at ``size``."""
+        """Return the value of the line at ``size``."""
         return self.intercept + self.slope * size
 
 
 def idle_cost(vms: int, engines: int = 4) -> Cost:
-    """Measure a fleet that serves nothing."""
+    """Measure a fleet without requests."""
     shape = Shape(vms=vms, engines=engines, adapters=10, domains=DOMAINS)
     fleet = Fleet.started(shape)
     try:
         fleet.world.advance(20)
         before = _counts(fleet)
         started_at = time.process_time()
-        fleet.world.advance(SECONDS)
+        fleet.world.advance(MEASURE_SECONDS)
         processor = time.process_time() - started_at
         after = _counts(fleet)
     finally:
         fleet.close()
     return Cost(
         vms,
-        (after[0] - before[0]) / vms / SECONDS,
-        (after[1] - before[1]) / vms / SECONDS,
-        processor / vms / SECONDS,
+        (after[0] - before[0]) / vms / MEASURE_SECONDS,
+        (after[1] - before[1]) / vms / MEASURE_SECONDS,
+        processor / vms / MEASURE_SECONDS,
     )
 
 
@@ -83,28 +91,28 @@
     )
 
 
-def settling(fault: str, seed: int) -> float:
-    """Give the seconds until each engine has one owner again."""
+def measure_settling(fault: str, seed: int) -> float:
+    """Return the seconds from a fault until each engine has one owner."""
     shape = Shape(vms=20, engines=10, adapters=10, domains=DOMAINS, seed=seed)
     fleet = Fleet.started(shape)
     try:
         fleet.world.advance(20 + seed * 0.37)
         _FAULTS[fault](fleet)
-        return _last_unsettled(fleet)
+        return _settling_seconds(fleet)
     finally:
         fleet.close()
 
 
-def _last_unsettled(fleet: Fleet) -> float:
-    """Give the seconds after which ownership did not change any more."""
-    started = fleet.world.moment
-    last = 0.0
-    while fleet.world.moment - started < WATCH_SECONDS:
+def _settling_seconds(fleet: Fleet) -> float:
+    """Return the seconds after which the fleet stayed settled."""
+    started_at = fleet.world.moment
+    last_unsettled = 0.0
+    while fleet.world.moment - started_at < WATCH_SECONDS:
         fleet.world.advance(0.1)
         if not fleet.is_settled():
-            last = fleet.world.moment - started
+            last_unsettled = fleet.world.moment - started_at
     assert fleet.is_settled(), fleet.owners()
-    return last
+    return last_unsettled
 
 
 def _kill_owner(fleet: Fleet) -> None:
@@ -113,7 +121,7 @@
 
 def _freeze_owner(fleet: Fleet) -> None:
     fleet.pause(fleet.owners()['engine-0'][0])
-    _hide(fleet, [fleet.owners()['engine-0'][0]])
+    _exclude(fleet, [fleet.owners()['engine-0'][0]])
 
 
 def _kill_domain(fleet: Fleet) -> None:
@@ -135,8 +143,8 @@
     fleet.links.heal()
 
 
-def _hide(fleet: Fleet, vm_ids: list[str]) -> None:
-    # A frozen process still claims to own its engines when asked here.
+def _exclude(fleet: Fleet, vm_ids: list[str]) -> None:
+    # A paused daemon object still reports the engines that it owned before.
     for vm_id in vm_ids:
         fleet.vms_by_id[vm_id].daemon = None
 
@@ -151,7 +159,7 @@
 
 
 def false_suspicions(seed: int, seconds: float = 3600) -> int:
-    """Count suspicions in an hour at 5 % loss of datagrams."""
+    """Count suspicions at 5 % datagram loss, over an hour by default."""
     shape = Shape(vms=20, engines=2, adapters=4, domains=DOMAINS, seed=seed)
     fleet = Fleet.started(shape)
     try:
@@ -165,7 +173,7 @@
 
 
 def main() -> None:
-    """Measure and print the tables."""
+    """Run the measurements and print their tables."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=7)
     parser.add_argument('--most', type=int, default=SIZES[-1])
@@ -174,19 +182,20 @@
     print_costs(costs)
     rows = []
     for fault in _FAULTS:
-        times = [
-            settling(fault, seed) for seed in range(1, arguments.seeds + 1)
+        durations = [
+            measure_settling(fault, seed)
+            for seed in range(1, arguments.seeds + 1)
         ]
-        middle = statistics.median(times)
-        rows.append((fault, f'{middle:.1f}', f'{max(times):.1f}'))
+        median_seconds = statistics.median(durations)
+        rows.append((fault, f'{median_seconds:.1f}', f'{max(durations):.1f}'))
     print(table(('FAULT (20 VMs)', 'SETTLED S MEDIAN', 'WORST'), rows))
     print()
-    hour = false_suspicions(1)
-    print(f'suspicions in an hour at 5 % loss, 20 VMs: {hour}')
+    suspicions_per_hour = false_suspicions(1)
+    print(f'suspicions in an hour at 5 % loss, 20 VMs: {suspicions_per_hour}')
 
 
 def print_costs(costs: list[Cost]) -> None:
-    """Print the cost of control for each size and the fitted lines."""
+    """Print the control-plane cost by fleet size and the fitted lines."""
     rows = [
         (
             cost.vms,
--- a/benchmarks/echo.py
+++ b/benchmarks/echo.py
@@ -1,7 +1,7 @@
-"""The least that a relay of these libraries costs: no checks, no queue.
+"""Baseline relay on the same libraries, without checks or queues.
 
-Reads a request with h11 on curio, sends it to one upstream and passes the
-answer on chunk by chunk. ``GET /echo`` is answered at once.
+Reads a request with h11 on curio, sends it to one upstream and forwards the
+response chunk by chunk. ``GET /echo`` is answered directly.
 """
 
 from __future__ import annotations
@@ -20,50 +20,50 @@
 if TYPE_CHECKING:
     from flamingovalve.http.server import Responder
 
-SECONDS = 60
+TIMEOUT_SECONDS = 60
 
 
 class BareRelay:
-    """Passes everything to one upstream."""
+    """Forwards every request to one upstream."""
 
     def __init__(self, network: Network, upstream: str) -> None:
-        """Pass to ``upstream``."""
+        """Create a relay to ``upstream``."""
         self._pool = ConnectionPool(network, RelaySettings())
         self._upstream = upstream
 
     async def __call__(self, request: Request, responder: Responder) -> None:
-        """Pass one request."""
+        """Forward one request."""
         if request.path == '/echo':
             await responder.send(Response(200, [], b'{}'))
             return
         connection = await self._pool.take(self._upstream)
-        passed = ('content-type', 'x-request-id')
+        forwarded_names = ('content-type', 'x-request-id')
         headers = [
             (name, request.headers[name])
-            for name in passed
+            for name in forwarded_names
             if name in request.headers
         ]
         call = UpstreamCall(
             request.method, request.target, headers, request.body
         )
-        await connection.send(call, SECONDS)
-        head = await connection.head(SECONDS)
+        await connection.send(call, TIMEOUT_SECONDS)
+        head = await connection.head(TIMEOUT_SECONDS)
         await responder.start(head.status, [])
-        received = await connection.chunk(SECONDS)
-        while received:
-            await responder.chunk(received)
-            received = await connection.chunk(SECONDS)
+        chunk_bytes = await connection.chunk(TIMEOUT_SECONDS)
+        while chunk_bytes:
+            await responder.chunk(chunk_bytes)
+            chunk_bytes = await connection.chunk(TIMEOUT_SECONDS)
         await responder.end()
         await self._pool.give(connection)
 
 
 def echo_call(_index: int) -> UpstreamCall:
-    """Give the request that is answered at once."""
+    """Return a request that the relay answers itself."""
     return UpstreamCall('GET', '/echo', [])
 
 
 async def serve(address: str, upstream: str) -> None:
-    """Serve at ``address`` for good."""
+    """Serve at ``address`` until the process is terminated."""
     network = Network()
     server = HttpServer(network, BareRelay(network, upstream), LimitSettings())
     await server.serve(network.listen(address))
--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -1,4 +1,4 @@
-"""Runs one load against whole daemons on the virtual clock."""
+"""Runs one workload against whole daemons on the virtual clock."""
 
 from __future__ import annotations
 
@@ -24,17 +24,24 @@
 
 DEADLINE_SECONDS = 20
 TOKEN_SECONDS = 0.02
-_WARM_SECONDS = 8
+_WARM_UP_SECONDS = 8
 _MILLISECONDS = 1000
-_LONGEST_MS = 600_000
+_MAX_RECORDED_MS = 600_000
 
 
 @dataclass
 class Outcome:
-    """What one run measured.
+    """Measurements of one run.
 
+    :ivar in_time: number of requests answered within their deadline
+    :ivar stalled: number of requests that waited for an adapter load
+    :ivar busy: seat-seconds used
+    :ivar wanted: seat-seconds that the running and waiting requests could
+        have used
     :ivar stalls: histogram of load stalls in milliseconds, by priority
-    :ivar firsts: histogram of the time to the first token, in milliseconds
+    :ivar first_token_times: histogram of the time to first token, in
+        milliseconds
+    :ivar waits: histogram of queueing times in milliseconds, by priority
     """
 
     policy: str
@@ -52,27 +59,27 @@
     stalls: dict[str, Any] = field(
         default_factory=lambda: defaultdict(_histogram),
     )
-    firsts: Any = None
+    first_token_times: Any = None
     waits: dict[str, Any] = field(
         default_factory=lambda: defaultdict(_histogram),
     )
 
     def __post_init__(self) -> None:
-        """Make the histogram of first tokens."""
-        self.firsts = _histogram()
+        """Create the histogram of the time to first token."""
+        self.first_token_times = _histogram()
 
     @property
     def efficiency(self) -> float:
-        """Give the seats used over the seats wanted while work waited."""
+        """Batch efficiency: ``busy`` as a share of ``wanted``."""
         return self.busy / self.wanted if self.wanted else 1
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, _LONGEST_MS, 3)
+    return HdrHistogram(1, _MAX_RECORDED_MS, 3)
 
 
 class Experiment:
-    """One policy under one load."""
+    """One policy under one workload."""
 
     def __init__(
         self,
@@ -81,7 +88,7 @@
         policy: str,
         seed: int,
     ) -> None:
-        """Prepare a fleet of the deployment's shape."""
+        """Start a fleet with the sizes of the deployment."""
         self.scenario = scenario
         self.load = arrivals(deployment, scenario, seed)
         self.outcome = Outcome(policy, seed, requests=len(self.load))
@@ -105,7 +112,7 @@
         )
 
     def run(self) -> Outcome:
-        """Send the whole load and give what came of it."""
+        """Send the whole workload and return the measurements."""
         try:
             self._run()
         finally:
@@ -114,21 +121,21 @@
 
     def _run(self) -> None:
         fleet = self.fleet
-        fleet.world.advance(_WARM_SECONDS)
+        fleet.world.advance(_WARM_UP_SECONDS)
         fleet.store.slowdown = self.scenario.store_slowdown
-        self._listen()
-        self._plan_faults()
+        self._register_dispatch_listeners()
+        self._schedule_faults()
         task = fleet.caller.node.spawn(self._send_all)
         limit = self.scenario.seconds + 2 * DEADLINE_SECONDS + 60
         assert fleet.world.run_until(lambda: task.terminated, limit)
-        self._add_up()
+        self._collect_counts()
 
-    def _listen(self) -> None:
+    def _register_dispatch_listeners(self) -> None:
         for daemon in self.fleet.daemons():
             for owner in daemon.engines.owners():
-                owner.scheduler.dispatch_listener = self._dispatched
+                owner.scheduler.dispatch_listener = self._record_dispatch
 
-    def _plan_faults(self) -> None:
+    def _schedule_faults(self) -> None:
         for engine in self.fleet.engines_by_id.values():
             engine.fail_loads = self.scenario.fail_loads
         if self.scenario.crash_at >= 0:
@@ -139,11 +146,11 @@
         await curio.sleep(self.scenario.crash_at)
         await self.fleet.engines_by_id['engine-0'].crash()
 
-    def _dispatched(self, ticket: Ticket) -> None:
+    def _record_dispatch(self, ticket: Ticket) -> None:
         waited = ticket.dispatched_at - ticket.entered_at
         priority = ticket.priority.value
         self.outcome.waits[priority].record_value(_ms(waited))
-        self.outcome.firsts.record_value(_ms(waited + TOKEN_SECONDS))
+        self.outcome.first_token_times.record_value(_ms(waited + TOKEN_SECONDS))
         stall = ticket.stall_seconds if ticket.stalled else 0
         self.outcome.stalls[priority].record_value(_ms(stall))
 
@@ -163,8 +170,8 @@
         status = await self._exchange(name, arrival)
         if status == 200:
             self.outcome.answered += 1
-            late = clock.now() - started_at > DEADLINE_SECONDS
-            self.outcome.in_time += not late
+            missed_deadline = clock.now() - started_at > DEADLINE_SECONDS
+            self.outcome.in_time += not missed_deadline
         else:
             self.outcome.refused += 1
 
@@ -177,7 +184,7 @@
             deadline=DEADLINE_SECONDS,
         )
         try:
-            address = await self._entry(name, arrival)
+            address = await self._find_address(name, arrival)
             response = await self.pool.exchange(
                 address,
                 call,
@@ -187,22 +194,22 @@
             return 0
         return response.status
 
-    async def _entry(
+    async def _find_address(
         self,
         name: str,
         arrival: Arrival,
     ) -> str:
         vms = list(self.fleet.vms_by_id.values())
-        asked = vms[int(arrival.at * _MILLISECONDS) % len(vms)]
+        entry_vm = vms[int(arrival.at * _MILLISECONDS) % len(vms)]
         query = f'model={name}&application={arrival.application}'
         response = await self.pool.exchange(
-            asked.http_address,
+            entry_vm.http_address,
             UpstreamCall('GET', f'/v1/entry?{query}', []),
             5,
         )
         return json.loads(response.body)['addresses'][0]
 
-    def _add_up(self) -> None:
+    def _collect_counts(self) -> None:
         outcome = self.outcome
         for daemon in self.fleet.daemons():
             for owner in daemon.engines.owners():
--- a/benchmarks/owner_cost.py
+++ b/benchmarks/owner_cost.py
@@ -1,7 +1,7 @@
 """Processor time of one place: ``python -m benchmarks.owner_cost``.
 
-Plays the owner of a group alone, without a network: asks for a place on an
-adapter that is held and gives it back, while others wait for a slot.
+Runs the owner of a group without a network: requests a place on a resident
+adapter and ends it, while other requests wait for an adapter slot.
 """
 
 from __future__ import annotations
@@ -41,29 +41,32 @@
 
 _MODEL: Final = ModelId('base')
 _SERVICE: Final = ServiceId('engines')
-_LONG_SECONDS: Final = 1000.0
+_UNLIMITED_SECONDS: Final = 1000.0
 _ROUNDS: Final = 2000
-# Adapters beyond those that engines hold, which who waits asks for.
-_COLD: Final = 3000
+# Number of non-resident adapters that the waiting requests ask for.
+_COLD_ADAPTERS: Final = 3000
 _BATCH: Final = 64
 _ADAPTER_MB: Final = 40.0
 _MODEL_MB: Final = 40_000.0
 
 
-class StillLink:
-    """An engine that says nothing; the owner knows what it holds."""
+class IdleEngineLink:
+    """Link to an engine that sends no reports and refuses orders.
+
+    The state of the engine is written to the ledger of the owner directly.
+    """
 
     async def report(self) -> None:
-        """Say nothing."""
-        await curio.sleep(_LONG_SECONDS)
+        """Wait without receiving a report."""
+        await curio.sleep(_UNLIMITED_SECONDS)
 
     async def order(self, _order: Order) -> OrderOutcome:
-        """Refuse."""
+        """Refuse every order."""
         return OrderOutcome.REFUSED
 
 
 def main() -> None:
-    """Measure and print the table; log lines are made, but go nowhere."""
+    """Measure and print the table; log lines are formatted, but discarded."""
     logbook.NullHandler().push_application()
     rows = [
         (
@@ -88,27 +91,31 @@
 
 
 async def _measure(engines: int, slots: int, waiting: int) -> float:
-    """Give the microseconds to ask for one place and give it back."""
-    chance = random.Random(1)
-    owner, held = await _owner(engines, slots)
-    serial = itertools.count()
+    """Return the microseconds to request one place and end it."""
+    rng = random.Random(1)
+    owner, held = await _build_owner(engines, slots)
+    request_numbers = itertools.count()
     for name in held:
-        # A request on each adapter for good: none can make room.
-        await owner.place(_ask(next(serial), name))
+        # A request stays on each adapter, so that none can be evicted.
+        await owner.place(_build_ask(next(request_numbers), name))
     for _waiter in range(waiting):
-        cold = AdapterId(f'cold-{chance.randrange(_COLD)}')
-        await curio.spawn(owner.place, _ask(next(serial), cold), daemon=True)
+        cold_adapter = AdapterId(f'cold-{rng.randrange(_COLD_ADAPTERS)}')
+        await curio.spawn(
+            owner.place,
+            _build_ask(next(request_numbers), cold_adapter),
+            daemon=True,
+        )
     await curio.sleep(0)
-    began = time.process_time()
+    started_at = time.process_time()
     for _round in range(_ROUNDS):
-        ask = _ask(next(serial), chance.choice(held))
+        ask = _build_ask(next(request_numbers), rng.choice(held))
         place = await owner.place(ask)
         await owner.end(place, PlaceOutcome.FINISHED, 0)
-    spent = time.process_time() - began
-    return spent / _ROUNDS * 1e6
+    elapsed = time.process_time() - started_at
+    return elapsed / _ROUNDS * 1e6
 
 
-async def _owner(
+async def _build_owner(
     engines: int,
     slots: int,
 ) -> tuple[GroupOwner, list[AdapterId]]:
@@ -117,7 +124,9 @@
         batch=_BATCH * slots,
         adapter_slots=slots,
         weight_mb=_MODEL_MB + _ADAPTER_MB * slots,
-        models={_MODEL: ModelTraits(_MODEL, _MODEL_MB, _ADAPTER_MB, _COLD)},
+        models={
+            _MODEL: ModelTraits(_MODEL, _MODEL_MB, _ADAPTER_MB, _COLD_ADAPTERS)
+        },
     )
     vm = VmId('127.0.0.1:1')
     owner = GroupOwner(
@@ -126,7 +135,7 @@
         vm,
         Fences(vm, _no_revision, 1),
         catalogue,
-        lambda _upstream: StillLink(),
+        lambda _upstream: IdleEngineLink(),
     )
     upstreams = [_upstream(number) for number in range(engines)]
     for upstream in upstreams:
@@ -146,7 +155,7 @@
 
 
 async def _no_revision() -> None:
-    """Give no revision."""
+    """Return no revision."""
 
 
 def _upstream(number: int) -> Upstream:
@@ -160,7 +169,7 @@
     )
 
 
-def _ask(number: int, adapter: AdapterId) -> PlaceAsk:
+def _build_ask(number: int, adapter: AdapterId) -> PlaceAsk:
     return PlaceAsk(
         RequestId(f'request-{number}'),
         GroupId(_SERVICE),
@@ -173,9 +182,9 @@
             PromptPart('b', 1),
             PromptPart(f'own-{number}', 2),
         ],
-        target=_LONG_SECONDS,
-        remaining=_LONG_SECONDS,
-        patience=_LONG_SECONDS,
+        target=_UNLIMITED_SECONDS,
+        remaining=_UNLIMITED_SECONDS,
+        patience=_UNLIMITED_SECONDS,
         domain=DomainId('east'),
     )
 
--- a/benchmarks/plots.py
+++ b/benchmarks/plots.py
@@ -1,4 +1,4 @@
-"""Plots of measurements, as PNG."""
+"""Draws measurements as PNG files."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     heights: dict[str, float],
     directory: Path,
 ) -> None:
-    """Draw one bar for each name."""
+    """Draw a bar chart with one bar for each name."""
     figure, axes = plt.subplots(figsize=(7, 3.5))
     axes.barh(list(heights), list(heights.values()))
     axes.invert_yaxis()
@@ -38,7 +38,7 @@
     series: dict[str, list[tuple[float, float]]],
     directory: Path,
 ) -> None:
-    """Draw one line of points for each name."""
+    """Draw a line chart with one line for each name."""
     figure, axes = plt.subplots(figsize=(7, 3.5))
     for name, points in series.items():
         axes.plot(*zip(*points, strict=True), marker='o', label=name)
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,4 +1,4 @@
-"""The policies that are compared: ours and the baselines."""
+"""Scheduling policies under comparison: the default and the baselines."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     return tune
 
 
-def _ours(_settings: Settings) -> None:
-    """Run with the defaults."""
+def _default(_settings: Settings) -> None:
+    """Keep the default settings."""
 
 
 POLICIES: dict[str, Tune] = {
     'random + LRU': _baseline(PlacementPolicy.RANDOM),
     'least loaded + LRU': _baseline(PlacementPolicy.LEAST_LOADED),
     'rendezvous + LRU': _baseline(PlacementPolicy.RENDEZVOUS),
-    'ours': _ours,
+    'ours': _default,
 }
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,4 +1,8 @@
-"""Twenty real daemons, one killed and one stopped: ``python -m benchmarks.processes``."""
+"""Failover of twenty real daemons: ``python -m benchmarks.processes``.
+
+Kills one owner and stops another, and measures until each engine has one
+owner again.
+"""
 
 from __future__ import annotations
 
@@ -26,22 +30,26 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure the idle cost and the failover times and print them."""
     with Processes(SHAPE) as fleet:
         fleet.wait_ready(60)
         time.sleep(5)
         _print_idle(fleet)
         rows = []
-        victim = _an_owner(fleet, set())
-        fleet.signal(victim, signal.SIGKILL)
-        rows.append(('SIGKILL to an owner', _settled(fleet, {victim.id})))
-        frozen = _an_owner(fleet, {victim.id})
+        killed = _pick_owner(fleet, set())
+        fleet.signal(killed, signal.SIGKILL)
+        rows.append(
+            ('SIGKILL to an owner', _time_to_settle(fleet, {killed.id}))
+        )
+        frozen = _pick_owner(fleet, {killed.id})
         fleet.signal(frozen, signal.SIGSTOP)
-        hidden = {victim.id, frozen.id}
-        rows.append(('SIGSTOP to an owner', _settled(fleet, hidden)))
+        excluded_ids = {killed.id, frozen.id}
+        rows.append(
+            ('SIGSTOP to an owner', _time_to_settle(fleet, excluded_ids))
+        )
         time.sleep(STOP_SECONDS)
         fleet.signal(frozen, signal.SIGCONT)
-        rows.append(('SIGCONT', _settled(fleet, {victim.id})))
+        rows.append(('SIGCONT', _time_to_settle(fleet, {killed.id})))
         print(table(('EVENT', 'ONE OWNER EACH AFTER S'), rows))
 
 
@@ -52,8 +60,8 @@
     rows = []
     for index, name in enumerate(('core', 'datagram bytes/s', 'datagrams/s')):
         rates = sorted(
-            (late[index] - early[index]) / IDLE_SECONDS
-            for early, late in zip(before, after, strict=True)
+            (last[index] - first[index]) / IDLE_SECONDS
+            for first, last in zip(before, after, strict=True)
         )
         scale = 100 if name == 'core' else 1
         unit = '%' if name == 'core' else ''
@@ -81,24 +89,24 @@
     return vm.process.pid
 
 
-def _an_owner(fleet: Processes, excluded: set[str]) -> Vm:
+def _pick_owner(fleet: Processes, excluded: set[str]) -> Vm:
     owners = set(fleet.owners().values()) - excluded
     return next(vm for vm in fleet.vms if vm.id in owners)
 
 
-def _settled(fleet: Processes, hidden: set[str]) -> str:
+def _time_to_settle(fleet: Processes, excluded_ids: set[str]) -> str:
     started_at = time.monotonic()
-    seen = [vm for vm in fleet.vms if vm.id not in hidden]
+    observed_vms = [vm for vm in fleet.vms if vm.id not in excluded_ids]
     while time.monotonic() - started_at < SETTLE_SECONDS:
-        if _is_settled(seen):
+        if _is_settled(observed_vms):
             return f'under {time.monotonic() - started_at:.1f}'
         time.sleep(0.1)
     return f'not within {SETTLE_SECONDS}'
 
 
-def _is_settled(seen: list[Vm]) -> bool:
+def _is_settled(observed_vms: list[Vm]) -> bool:
     owned: list[str] = []
-    for vm in seen:
+    for vm in observed_vms:
         state = get_json(vm.http_address, '/state') or {}
         for engine, entry in state.get('engines', {}).items():
             if entry['leased']:
--- a/benchmarks/quota_policies.py
+++ b/benchmarks/quota_policies.py
@@ -1,7 +1,7 @@
 """Compares quota policies: ``python -m benchmarks.quota_policies``.
 
 Simulates the requests of one workspace, without a network, under three
-policies: a single VM keeps the credit (as in the product), each VM has a
+policies: a single VM keeps the credit (the policy in use), each VM has a
 share of the quota by its demand, or each VM counts what all VMs admit.
 """
 
@@ -43,10 +43,10 @@
 
 
 class Policy(Protocol):
-    """Admission of requests under one quota on many VMs."""
+    """Admission of requests under one quota that many VMs share."""
 
     def admits(self, arrival: Arrival, *, is_partitioned: bool) -> bool:
-        """Tell whether a request is admitted.
+        """Return whether a request is admitted.
 
         :param is_partitioned: whether the fleet is split into two equal halves
         """
@@ -109,12 +109,12 @@
     """Each VM counts its own admissions and those gossiped by others."""
 
     def __init__(self, vms: int) -> None:
-        """Start without admissions."""
+        """Create a bucket of the full quota for each VM."""
         self._buckets = [CreditBucket(_QUOTA, 0) for _vm in range(vms)]
         self._unsent: list[Arrival] = []
 
     def admits(self, arrival: Arrival, *, is_partitioned: bool) -> bool:
-        """Take credit from the VM's view of the total."""
+        """Take credit from the bucket of the VM, after due gossip."""
         while self._unsent and (
             self._unsent[0].at < arrival.at - _GOSSIP_SECONDS
         ):
@@ -181,18 +181,19 @@
 def _simulate(
     policy: Policy, workload: Workload, vms: int, seed: int
 ) -> list[float]:
-    """Give the worst window and the loss of a run.
+    """Return the worst window and the loss of a run.
 
-    The worst window is a share of the quota. The loss is the shortfall
-    against a single bucket, as a share of the tokens that it admits.
+    The worst window is the largest number of tokens admitted in any window,
+    as a share of what the quota allows. The loss is the shortfall against a
+    single bucket, as a share of the tokens that the bucket admits.
     """
-    moment = [0.0]
-    clock.replace_source(lambda: moment[0], lambda: moment[0])
+    virtual_now = [0.0]
+    clock.replace_source(lambda: virtual_now[0], lambda: virtual_now[0])
     reference = CreditBucket(_QUOTA, 0)
-    served: list[Arrival] = []
+    admitted_arrivals: list[Arrival] = []
     entitled = 0
     for arrival in _arrivals(workload, vms, seed):
-        moment[0] = arrival.at
+        virtual_now[0] = arrival.at
         third = _SECONDS / 3
         is_partitioned = (
             workload.is_partitioned and third < arrival.at < 2 * third
@@ -201,19 +202,21 @@
         is_entitled = reference.take(arrival.tokens) == 0
         entitled += arrival.tokens * is_entitled
         if admitted:
-            served.append(arrival)
+            admitted_arrivals.append(arrival)
     clock.restore_source()
-    lost = max(entitled - sum(arrival.tokens for arrival in served), 0)
-    return [_worst_window(served), lost / entitled]
+    lost = max(
+        entitled - sum(arrival.tokens for arrival in admitted_arrivals), 0
+    )
+    return [_worst_window(admitted_arrivals), lost / entitled]
 
 
-def _worst_window(served: list[Arrival]) -> float:
+def _worst_window(admitted_arrivals: list[Arrival]) -> float:
     allowed = _QUOTA.rate * _WINDOW_SECONDS + _QUOTA.burst
     worst, first, total = 0, 0, 0
-    for arrival in served:
+    for arrival in admitted_arrivals:
         total += arrival.tokens
-        while served[first].at < arrival.at - _WINDOW_SECONDS:
-            total -= served[first].tokens
+        while admitted_arrivals[first].at < arrival.at - _WINDOW_SECONDS:
+            total -= admitted_arrivals[first].tokens
             first += 1
         worst = max(worst, total)
     return worst / allowed
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,7 +1,8 @@
-"""What a daemon adds to a request: ``python -m benchmarks.relay``.
+"""Overhead of a daemon on a request: ``python -m benchmarks.relay``.
 
-Real processes on loopback. Every figure is a ratio to a bare program of the
-same libraries (h11 on curio) or to the stand-in itself, from the same run.
+Runs real processes on loopback. Every figure is compared, in the same run,
+with a minimal relay on the same libraries (h11 on curio) or with the stand-in
+itself.
 """
 
 from __future__ import annotations
@@ -37,18 +38,18 @@
 
 SHAPE = Shape('relay', ('one',), 2, 1, 1, adapters=50, slots=8, batch=64)
 TOKENS = 100
-WARM = 50
+WARM_UP_CALLS = 50
 REQUESTS = 600
 STREAMS = 40
 CLAIMS = 300
 CALLERS = 8
 _MICROSECONDS = 1_000_000
-_LONGEST = 60 * _MICROSECONDS
+_MAX_RECORDED_MICROSECONDS = 60 * _MICROSECONDS
 
 
 @dataclass
 class Timing:
-    """What one way of asking took."""
+    """Latencies of the calls to one address."""
 
     name: str
     seconds: float
@@ -56,7 +57,7 @@
     processor: float
 
     def row(self, base: Timing) -> list[object]:
-        """Give a table row relative to ``base``."""
+        """Return a table row relative to ``base``."""
         return [
             self.name,
             round(self._ms(50), 2),
@@ -70,22 +71,22 @@
         return self.histogram.get_value_at_percentile(percentile) / 1000
 
 
-class Asker:
-    """Sends the same call many times over kept connections."""
+class LoadGenerator:
+    """Sends the same call many times over persistent connections."""
 
     def __init__(
         self, address: str, call: Callable[[int], UpstreamCall]
     ) -> None:
-        """Call ``address``."""
+        """Create a generator of calls to ``address``."""
         self._address = address
         self._call = call
         self._pool = ConnectionPool(Network(), RelaySettings())
-        self._histogram = HdrHistogram(1, _LONGEST, 3)
-        self._left = 0
+        self._histogram = HdrHistogram(1, _MAX_RECORDED_MICROSECONDS, 3)
+        self._remaining = 0
 
     async def run(self, name: str, count: int, callers: int) -> Timing:
-        """Make ``count`` calls from ``callers`` tasks."""
-        self._left = count
+        """Send ``count`` calls from ``callers`` concurrent tasks."""
+        self._remaining = count
         started_at = time.perf_counter()
         tasks = [await curio.spawn(self._caller) for _index in range(callers)]
         for task in tasks:
@@ -95,29 +96,29 @@
         return Timing(name, seconds, self._histogram, 0)
 
     async def _caller(self) -> None:
-        while self._left > 0:
-            self._left -= 1
+        while self._remaining > 0:
+            self._remaining -= 1
             before = time.perf_counter()
             response = await self._pool.exchange(
                 self._address,
-                self._call(self._left),
+                self._call(self._remaining),
                 60,
             )
             assert response.status == 200, response
-            taken = time.perf_counter() - before
-            self._histogram.record_value(int(taken * _MICROSECONDS))
+            elapsed = time.perf_counter() - before
+            self._histogram.record_value(int(elapsed * _MICROSECONDS))
 
 
 def measure(
     name: str, address: str, call: Callable, count: int, callers: int
 ) -> Timing:
-    """Warm up and measure one way of asking."""
-    curio.run(Asker(address, call).run, name, WARM, 1)
-    return curio.run(Asker(address, call).run, name, count, callers)
+    """Measure the calls to an address after a warm-up."""
+    curio.run(LoadGenerator(address, call).run, name, WARM_UP_CALLS, 1)
+    return curio.run(LoadGenerator(address, call).run, name, count, callers)
 
 
-def whole_call(index: int) -> UpstreamCall:
-    """Give a completion with a short whole answer."""
+def unstreamed_call(index: int) -> UpstreamCall:
+    """Return a completion call with a short, unstreamed response."""
     call = completion(f'{adapter_name(1)}@2', f'prompt {index}')
     call.body = call.body.replace(b'{"model"', b'{"max_tokens": 1, "model"', 1)
     call.headers.append(('x-request-id', f'direct-{index}'))
@@ -125,7 +126,7 @@
 
 
 def stream_call(index: int) -> UpstreamCall:
-    """Give a completion with a streamed answer."""
+    """Return a completion call with a streamed response."""
     call = completion(f'{adapter_name(1)}@2', f'prompt {index}')
     extra = f'{{"stream": true, "max_tokens": {TOKENS}, "model"'.encode()
     call.body = call.body.replace(b'{"model"', extra, 1)
@@ -134,26 +135,26 @@
 
 
 def entry_call(_index: int) -> UpstreamCall:
-    """Give the question which address to use."""
+    """Return a call that looks up the addresses for an adapter."""
     query = f'model={adapter_name(1)}&application={APPLICATION}'
     return UpstreamCall('GET', f'/v1/entry?{query}', [])
 
 
 def processor_seconds(pid: int) -> float:
-    """Give the processor time that a process has used."""
+    """Return the seconds of processor time that a process has used."""
     with open(f'/proc/{pid}/stat', encoding='ascii') as stat:
         fields = stat.read().rsplit(')', 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf('SC_CLK_TCK')
 
 
 def resident_bytes(pid: int) -> int:
-    """Give the resident memory of a process."""
+    """Return the resident memory of a process in bytes."""
     with open(f'/proc/{pid}/statm', encoding='ascii') as statm:
         return int(statm.read().split()[1]) * os.sysconf('SC_PAGE_SIZE')
 
 
 def main() -> None:
-    """Measure and print the tables."""
+    """Run the measurements and print their tables."""
     with Processes(SHAPE) as fleet:
         fleet.wait_ready()
         fleet.set_engines({'token_seconds': 0.0})
@@ -161,7 +162,9 @@
         owner = next(vm for vm in fleet.vms if vm.id == owner_id)
         other = next(vm for vm in fleet.vms if vm.id != owner_id)
         engine = fleet.engine_addresses[0]
-        curio.run(Asker(owner.http_address, whole_call).run, 'load', 1, 1)
+        curio.run(
+            LoadGenerator(owner.http_address, unstreamed_call).run, 'load', 1, 1
+        )
         echo_address = free_address()
         bare = subprocess.Popen(
             [sys.executable, '-m', 'benchmarks.echo', echo_address, engine],
@@ -179,14 +182,14 @@
 
 
 def _latency(owner: str, other: str, engine: str, bare: str) -> None:
-    ways = [
-        measure('stand-in itself', engine, whole_call, REQUESTS, 1),
-        measure('bare relay', bare, whole_call, REQUESTS, 1),
-        measure('owner', owner, whole_call, REQUESTS, 1),
-        measure('other VM', other, whole_call, REQUESTS, 1),
+    timings = [
+        measure('stand-in itself', engine, unstreamed_call, REQUESTS, 1),
+        measure('bare relay', bare, unstreamed_call, REQUESTS, 1),
+        measure('owner', owner, unstreamed_call, REQUESTS, 1),
+        measure('other VM', other, unstreamed_call, REQUESTS, 1),
     ]
     head = ('WHOLE ANSWERS', 'P50 MS', 'P99 MS', 'P50 X', 'P99 X', 'REQUESTS/S')
-    print(table(head, [way.row(ways[0]) for way in ways]))
+    print(table(head, [timing.row(timings[0]) for timing in timings]))
     print()
 
 
@@ -197,21 +200,29 @@
     rows = []
     for name, call, count, unit in (
         ('entry answer', entry_call, 2000, 1),
-        ('request', whole_call, REQUESTS, 1),
+        ('request', unstreamed_call, REQUESTS, 1),
         ('streamed chunk', stream_call, STREAMS, TOKENS),
     ):
-        ours = _cost(owner.http_address, pid, call, count) / unit
+        daemon_seconds = (
+            _processor_seconds_per_call(owner.http_address, pid, call, count)
+            / unit
+        )
         if name == 'entry answer':
-            base = _cost(bare_address, bare.pid, echo.echo_call, count)
+            base = _processor_seconds_per_call(
+                bare_address, bare.pid, echo.echo_call, count
+            )
         else:
-            base = _cost(bare_address, bare.pid, call, count) / unit
+            base = (
+                _processor_seconds_per_call(bare_address, bare.pid, call, count)
+                / unit
+            )
         rows.append(
             (
                 name,
-                f'{ours * _MICROSECONDS:.0f}',
+                f'{daemon_seconds * _MICROSECONDS:.0f}',
                 f'{base * _MICROSECONDS:.0f}',
-                f'{ours / base:.2f}',
-                f'{1 / ours:.0f}',
+                f'{daemon_seconds / base:.2f}',
+                f'{1 / daemon_seconds:.0f}',
             ),
         )
     head = ('ONE CORE', 'OURS US', 'BARE US', 'RATIO', 'PER SECOND')
@@ -220,7 +231,7 @@
 
 
 def _claims(address: str) -> None:
-    """Compare a claimed call with one that may be repeated."""
+    """Compare a claimed, non-idempotent call with an idempotent one."""
     figures = {}
     for name, call in (('status', ''), ('pay', 'permit')):
         figures[name] = curio.run(_time_calls, address, name, bool(call))
@@ -236,7 +247,7 @@
 
 
 async def _time_calls(address: str, name: str, claimed: bool) -> HdrHistogram:
-    histogram = HdrHistogram(1, _LONGEST, 3)
+    histogram = HdrHistogram(1, _MAX_RECORDED_MICROSECONDS, 3)
     pool = ConnectionPool(Network(), RelaySettings())
     for index in range(CLAIMS):
         headers = [('authorization', f'Bearer {APPLICATION}')]
@@ -255,16 +266,18 @@
         before = time.perf_counter()
         response = await pool.exchange(address, call, 10)
         assert response.status == 200, response
-        taken = time.perf_counter() - before
-        histogram.record_value(int(taken * _MICROSECONDS))
+        elapsed = time.perf_counter() - before
+        histogram.record_value(int(elapsed * _MICROSECONDS))
     await pool.close()
     return histogram
 
 
-def _cost(address: str, pid: int, call: Callable, count: int) -> float:
-    curio.run(Asker(address, call).run, 'warm', 20, CALLERS)
+def _processor_seconds_per_call(
+    address: str, pid: int, call: Callable, count: int
+) -> float:
+    curio.run(LoadGenerator(address, call).run, 'warm', 20, CALLERS)
     before = processor_seconds(pid)
-    curio.run(Asker(address, call).run, 'cost', count, CALLERS)
+    curio.run(LoadGenerator(address, call).run, 'cost', count, CALLERS)
     return (processor_seconds(pid) - before) / count
 
 
--- a/benchmarks/run.py
+++ b/benchmarks/run.py
@@ -1,7 +1,8 @@
 """Compares scheduling policies: ``python -m benchmarks.run``.
 
-Every scenario runs whole daemons on the virtual clock under each policy and
-several seeds; a Markdown table and plots are written to ``benchmarks/out``.
+Runs whole daemons on the virtual clock in every scenario, under each policy
+and with several seeds. Writes Markdown tables and plots to
+``benchmarks/out``.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 )
 QUICK = ('steady', 'ordinary flood')
 
-HEAD = (
+TABLE_HEADINGS = (
     'policy',
     'stalled',
     'stall s',
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Job:
-    """One run."""
+    """Parameters of one run."""
 
     deployment: Deployment
     scenario: Scenario
@@ -59,7 +60,15 @@
 
 @dataclass(frozen=True)
 class Figures:
-    """What one run is summed up to; one entry a column of the table."""
+    """Summary of one run; each field is a column of the table.
+
+    :ivar stalled: share of requests that waited for an adapter load
+    :ivar stall_p95: load stall in milliseconds, ordinary requests
+    :ivar urgent_p99: queueing time in milliseconds, urgent requests
+    :ivar ordinary_p99: queueing time in milliseconds, ordinary requests
+    :ivar first_p95: time to first token in milliseconds
+    :ivar in_time: share of requests answered within their deadline
+    """
 
     stalled: float
     stall_seconds: float
@@ -72,7 +81,7 @@
     loads: float
 
     def cells(self) -> list[str]:
-        """Give the cells of a table row."""
+        """Return the cells of a table row."""
         return [
             f'{self.stalled:.1%}',
             f'{self.stall_seconds:.0f}',
@@ -87,7 +96,7 @@
 
 
 def measure(job: Job) -> Figures:
-    """Make one run."""
+    """Execute one run and summarise it."""
     experiment = Experiment(
         job.deployment,
         job.scenario,
@@ -102,7 +111,7 @@
         stalls.get_value_at_percentile(95),
         outcome.waits['urgent'].get_value_at_percentile(99),
         outcome.waits['ordinary'].get_value_at_percentile(99),
-        outcome.firsts.get_value_at_percentile(95),
+        outcome.first_token_times.get_value_at_percentile(95),
         outcome.efficiency,
         outcome.in_time / outcome.requests,
         outcome.loads,
@@ -110,7 +119,7 @@
 
 
 def median(runs: list[Figures]) -> Figures:
-    """Give the median of each figure over the seeds."""
+    """Return the median of each figure over the seeds."""
     columns = zip(*map(astuple, runs), strict=True)
     return Figures(*map(statistics.median, columns))
 
@@ -120,26 +129,26 @@
     scenario: Scenario,
     seeds: int,
 ) -> tuple[Bound, float]:
-    """Give the clairvoyant bound: the median run and its stall share."""
+    """Return the clairvoyant bound of the median seed and its stall share."""
     bounds = []
     for seed in range(1, seeds + 1):
         load = arrivals(deployment, scenario, seed)
         slots = deployment.engines * scenario.slots
-        found = clairvoyant(load, slots)
-        bounds.append((found.stall_seconds, found, len(load)))
+        bound_of_seed = clairvoyant(load, slots)
+        bounds.append((bound_of_seed.stall_seconds, bound_of_seed, len(load)))
     bounds.sort(key=lambda entry: entry[0])
-    _seconds, middle, requests = bounds[len(bounds) // 2]
-    return middle, middle.stalled / requests
+    _seconds, median_run, requests = bounds[len(bounds) // 2]
+    return median_run, median_run.stalled / requests
 
 
 def main() -> None:
-    """Run every scenario, print the table and write plots."""
+    """Run every scenario, print the tables and write the plots."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=5)
     parser.add_argument('--workers', type=int, default=4)
     parser.add_argument('--quick', action='store_true')
     arguments = parser.parse_args()
-    chosen = [
+    selected = [
         scenario
         for scenario in SCENARIOS
         if not arguments.quick or scenario.name in QUICK
@@ -147,7 +156,7 @@
     jobs = [
         Job(deployment, scenario, policy, seed)
         for deployment in DEPLOYMENTS
-        for scenario in chosen
+        for scenario in selected
         for policy in POLICIES
         for seed in range(1, arguments.seeds + 1)
     ]
@@ -156,7 +165,7 @@
     OUT.mkdir(exist_ok=True)
     lines = []
     for deployment in DEPLOYMENTS:
-        for scenario in chosen:
+        for scenario in selected:
             lines.extend(
                 section(deployment, scenario, measured, arguments.seeds),
             )
@@ -171,19 +180,19 @@
     measured: dict[Job, Figures],
     seeds: int,
 ) -> list[str]:
-    """Give the table of one scenario and draw its plot."""
+    """Return the table of one scenario as lines, and draw its plot."""
     title = f'{deployment.name}: {scenario.name}'
-    lines = [f'### {title}', '', f'| {" | ".join(HEAD)} |']
-    lines.append(f'| {" | ".join("---" for _column in HEAD)} |')
+    lines = [f'### {title}', '', f'| {" | ".join(TABLE_HEADINGS)} |']
+    lines.append(f'| {" | ".join("---" for _column in TABLE_HEADINGS)} |')
     stalls = {}
     for policy in POLICIES:
         runs = [
             measured[Job(deployment, scenario, policy, seed)]
             for seed in range(1, seeds + 1)
         ]
-        middle = median(runs)
-        stalls[policy] = middle.stall_seconds
-        lines.append(f'| {policy} | {" | ".join(middle.cells())} |')
+        median_run = median(runs)
+        stalls[policy] = median_run.stall_seconds
+        lines.append(f'| {policy} | {" | ".join(median_run.cells())} |')
     bound, share = bound_of(deployment, scenario, seeds)
     stalls['bound'] = bound.stall_seconds
     lines.append(
--- a/benchmarks/workload.py
+++ b/benchmarks/workload.py
@@ -1,4 +1,4 @@
-"""Arrivals of requests as the two deployments describe them."""
+"""Generates request arrivals for the two modelled deployments."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """Sizes of one deployment and its mix of requests.
+    """Sizes and request mix of one deployment.
 
-    :ivar mix: share of each class: application and tokens of its answers
+    :ivar mix: share, application and response tokens of each request class
+    :ivar skew: exponent of the Zipf distribution of adapters
     """
 
     name: str
@@ -54,11 +55,14 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """What happens while the load runs.
-
-    :ivar rate: requests a second
-    :ivar shift_at: when popularity moves to other adapters; negative: never
-    :ivar flood: factor on ordinary requests in the middle third
+    """Load and faults of one run.
+
+    :ivar rate: requests per second
+    :ivar shift_at: time at which other adapters become popular, in seconds
+        from the start; negative for never
+    :ivar flood: factor on the request rate in the middle third
+    :ivar crash_at: time at which an engine crashes, in seconds from the
+        start; negative for never
     """
 
     name: str
@@ -72,15 +76,18 @@
     crash_at: float = -1
     store_slowdown: float = 1
 
-    def rate_at(self, moment: float) -> float:
-        """Give the requests a second at a moment of the run."""
-        flooded = 1 / 3 < moment / self.seconds < 2 / 3
+    def rate_at(self, seconds_in: float) -> float:
+        """Return the requests per second at ``seconds_in`` from the start."""
+        flooded = 1 / 3 < seconds_in / self.seconds < 2 / 3
         return self.rate * self.flood if flooded else self.rate
 
 
 @dataclass(slots=True)
 class Arrival:
-    """One request of the load."""
+    """One request of the workload.
+
+    :ivar at: time in seconds from the start
+    """
 
     at: float
     adapter: int
@@ -90,17 +97,20 @@
 
 @dataclass
 class Zipf:
-    """Draws adapters by popularity; a shift renames the popular ones."""
+    """Draws adapters from a Zipf distribution.
+
+    :ivar names: adapters in order of popularity
+    """
 
     adapters: int
     skew: float
-    chance: random.Random
+    rng: random.Random
     names: list[int] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Rank the adapters at random."""
+        """Assign the popularity ranks at random."""
         self.names = list(range(self.adapters))
-        self.chance.shuffle(self.names)
+        self.rng.shuffle(self.names)
         self._weights = list(
             accumulate(
                 1 / (rank + 1) ** self.skew for rank in range(self.adapters)
@@ -108,12 +118,12 @@
         )
 
     def draw(self) -> int:
-        """Give the adapter of one request."""
-        return self.chance.choices(self.names, cum_weights=self._weights)[0]
+        """Return the adapter of one request."""
+        return self.rng.choices(self.names, cum_weights=self._weights)[0]
 
     def shift(self) -> None:
-        """Make other adapters popular, without warning."""
-        self.chance.shuffle(self.names)
+        """Reassign the popularity ranks at random."""
+        self.rng.shuffle(self.names)
 
 
 def arrivals(
@@ -121,20 +131,20 @@
     scenario: Scenario,
     seed: int,
 ) -> list[Arrival]:
-    """Give the requests of one run, in order of time."""
-    chance = random.Random(f'{deployment.name}/{scenario.name}/{seed}')
-    zipf = Zipf(deployment.adapters, deployment.skew, chance)
+    """Return the requests of one run in order of time."""
+    rng = random.Random(f'{deployment.name}/{scenario.name}/{seed}')
+    zipf = Zipf(deployment.adapters, deployment.skew, rng)
     shares = [share for share, _application, _tokens in deployment.mix]
-    made: list[Arrival] = []
-    moment = 0.0
-    while moment < scenario.seconds:
-        before = moment
-        moment += chance.expovariate(scenario.rate_at(moment))
-        if before < scenario.shift_at <= moment:
+    requests: list[Arrival] = []
+    seconds_in = 0.0
+    while seconds_in < scenario.seconds:
+        previous = seconds_in
+        seconds_in += rng.expovariate(scenario.rate_at(seconds_in))
+        if previous < scenario.shift_at <= seconds_in:
             zipf.shift()
-        _share, application, tokens = chance.choices(
+        _share, application, tokens = rng.choices(
             deployment.mix,
             weights=shares,
         )[0]
-        made.append(Arrival(moment, zipf.draw(), application, tokens))
-    return made
+        requests.append(Arrival(seconds_in, zipf.draw(), application, tokens))
+    return requests
