--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A small fleet of real processes that shows what flamingovalve does."""
+"""Demonstrates flamingovalve with a small fleet of real processes."""
--- a/demo/load.py
+++ b/demo/load.py
@@ -1,4 +1,4 @@
-"""Sends a Zipf load of completions to a fleet and measures the answers."""
+"""Sends completions with a Zipf distribution and measures the responses."""
 
 from __future__ import annotations
 
@@ -22,15 +22,22 @@
 
     from flamingovalve.http.messages import Response
 
-_SECONDS = 60
+_TIMEOUT_SECONDS = 60
 _SKEW = 1.1
-_PATIENCE_SECONDS = 40
-_FIRST_PAUSE_SECONDS = 0.2
+_MAX_RETRY_SECONDS = 40
+_INITIAL_PAUSE_SECONDS = 0.2
 
 
 @dataclass
 class Figures:
-    """What came of the load."""
+    """Results of a load.
+
+    :ivar answered: requests with a correct response
+    :ivar wrong: requests with a response for another adapter or version
+    :ivar failed: requests that were given up
+    :ivar tries: attempts, including retries
+    :ivar seconds: response times, including those of failed requests
+    """
 
     answered: int = 0
     wrong: int = 0
@@ -39,21 +46,21 @@
     seconds: list[float] = field(default_factory=list)
 
     def percentile(self, share: float) -> float:
-        """Give the answer time that ``share`` of the requests kept."""
+        """Return the response time that ``share`` of the requests met."""
         ordered = sorted(self.seconds)
         return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
 
 
 class Load:
-    """Callers that ask for an address, keep it a while and send there."""
+    """Callers that look up an address, cache it and send requests there."""
 
     def __init__(self, addresses: list[str], adapters: int, seed: int) -> None:
-        """Ask any of ``addresses`` first."""
+        """Create callers that look up addresses at any of ``addresses``."""
         self.figures = Figures()
         self._addresses = addresses
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._pool = ConnectionPool(Network(), RelaySettings())
-        self._entries: dict[str, tuple[float, list[str]]] = {}
+        self._cached_addresses: dict[str, tuple[float, list[str]]] = {}
         self._names = [adapter_name(index) for index in range(adapters)]
         self._weights = list(
             accumulate(1 / (rank + 1) ** _SKEW for rank in range(adapters)),
@@ -65,91 +72,96 @@
         rate: float,
         at_half: Callable[[], None],
     ) -> None:
-        """Send ``requests`` at ``rate`` a second.
+        """Send ``requests`` requests at ``rate`` per second.
 
-        :param at_half: called when half of them are under way
+        :param at_half: called when half of them have been started
         """
         tasks = []
         for index in range(requests):
             if index == requests // 2:
                 at_half()
-            tasks.append(await curio.spawn(self._one, index))
-            await curio.sleep(self._chance.expovariate(rate))
+            tasks.append(await curio.spawn(self._send_one, index))
+            await curio.sleep(self._rng.expovariate(rate))
         for task in tasks:
             await task.join()
         await self._pool.close()
 
-    async def _one(self, index: int) -> None:
-        name = self._chance.choices(
+    async def _send_one(self, index: int) -> None:
+        name = self._rng.choices(
             self._names,
             cum_weights=self._weights,
         )[0]
         prompt = f'prompt {index}'
         started_at = clock.now()
-        response = await self._persist(name, prompt)
+        response = await self._send_with_retries(name, prompt)
         self.figures.seconds.append(clock.now() - started_at)
         if response is None:
             self.figures.failed += 1
-        elif _is_right(response, name):
+        elif _is_correct(response, name):
             self.figures.answered += 1
         else:
             self.figures.wrong += 1
 
-    async def _persist(self, name: str, prompt: str) -> Response | None:
-        """Come back as a refusal says, until patience runs out."""
-        patience = clock.now() + _PATIENCE_SECONDS
+    async def _send_with_retries(
+        self, name: str, prompt: str
+    ) -> Response | None:
+        """Retry as ``retry-after`` says, until the deadline.
+
+        :returns: the response; None if the deadline passed
+        """
+        deadline = clock.now() + _MAX_RETRY_SECONDS
         attempt = 0
-        while clock.now() < patience:
+        while clock.now() < deadline:
             self.figures.tries += 1
-            response = await self._try(name, prompt, attempt)
+            response = await self._send_once(name, prompt, attempt)
             if response is not None and response.status == 200:
                 return response
             attempt += 1
-            self._entries.pop(name, None)
-            pause = _FIRST_PAUSE_SECONDS
+            self._cached_addresses.pop(name, None)
+            pause = _INITIAL_PAUSE_SECONDS
             if response is not None:
                 pause = float(response.header('retry-after') or pause)
-            await curio.sleep(pause * self._chance.uniform(0.5, 1.5))
+            await curio.sleep(pause * self._rng.uniform(0.5, 1.5))
         return None
 
-    async def _try(
+    async def _send_once(
         self,
         name: str,
         prompt: str,
         attempt: int,
     ) -> Response | None:
         try:
-            addresses = await self._ask(name)
+            addresses = await self._look_up(name)
             address = addresses[attempt % len(addresses)]
             return await self._pool.exchange(
                 address,
                 completion(name, prompt),
-                _SECONDS,
+                _TIMEOUT_SECONDS,
             )
         except (OSError, ConnectionLost):
             return None
 
-    async def _ask(self, name: str) -> list[str]:
-        known = self._entries.get(name)
-        if known is not None and clock.now() < known[0]:
-            return known[1]
+    async def _look_up(self, name: str) -> list[str]:
+        cached = self._cached_addresses.get(name)
+        if cached is not None and clock.now() < cached[0]:
+            return cached[1]
         target = f'/v1/entry?model={name}&application={APPLICATION}'
         response = await self._pool.exchange(
-            self._chance.choice(self._addresses),
+            self._rng.choice(self._addresses),
             UpstreamCall('GET', target, []),
-            _SECONDS,
+            _TIMEOUT_SECONDS,
         )
         answer: dict[str, Any] = json.loads(response.body)
         if response.status != 200:
             raise ConnectionLost(str(answer))
         addresses: list[str] = answer['addresses']
-        kept_until = clock.now() + answer['ttl_seconds']
-        self._entries[name] = (kept_until, addresses)
+        expires_at = clock.now() + answer['ttl_seconds']
+        self._cached_addresses[name] = (expires_at, addresses)
         return addresses
 
 
 def completion(name: str, prompt: str) -> UpstreamCall:
-    """Give the request for a completion."""
+    """Return the call for a completion."""
     content = {
         'model': name,
         'messages': [{'role': 'user', 'content': prompt}],
@@ -163,7 +175,7 @@
     )
 
 
-def _is_right(response: Response, name: str) -> bool:
+def _is_correct(response: Response, name: str) -> bool:
     answer = json.loads(response.body)
     text: str = answer['choices'][0]['message']['content']
     return answer['model'] == f'{name}@2' and text.startswith(f'{name}@2/')
--- a/demo/processes.py
+++ b/demo/processes.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a fleet on this machine."""
+"""Starts and stops the processes of a fleet on the local machine."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 SECRET = 'demo-operator-secret'
 MODEL = 'base'
 
-_STOP_SECONDS = 10
-_PAGE_ADAPTERS = 2000
+_STOP_TIMEOUT_SECONDS = 10
+_ADAPTERS_PER_PAGE = 2000
 
 
 @dataclass
 class Shape:
     """Sizes of a fleet.
 
-    :ivar model_domains: failure domain of each model engine
-    :ivar service_replicas: replicas of the plain service
+    :ivar domains: failure domains; VMs and engines are spread over them
+    :ivar service_replicas: number of replicas of the plain service
     """
 
     name: str
@@ -48,7 +48,7 @@
 
 @dataclass
 class Vm:
-    """One entry VM of the fleet."""
+    """A VM of the fleet and its daemon process."""
 
     id: str
     domain: str
@@ -59,7 +59,7 @@
 
 @dataclass
 class Processes:
-    """Every process of one fleet; all end when the block ends."""
+    """Context manager of all processes of a fleet; kills them on exit."""
 
     shape: Shape
     vms: list[Vm] = field(default_factory=list)
@@ -69,7 +69,7 @@
     _directory: tempfile.TemporaryDirectory[str] | None = None
 
     def __enter__(self) -> Self:
-        """Start the stand-ins, publish, and start the daemons."""
+        """Start the stand-ins, publish the inventory, start the daemons."""
         self._directory = tempfile.TemporaryDirectory()
         try:
             self._start_all()
@@ -84,7 +84,7 @@
         _error: BaseException | None,
         _trace: TracebackType | None,
     ) -> None:
-        """End every process that was started here."""
+        """Kill every process that this object started."""
         self._stop_all()
 
     def signal(self, vm: Vm, number: signal.Signals) -> None:
@@ -97,11 +97,13 @@
         assert self._directory is not None
         path = Path(self._directory.name) / f'{vm.id}.ini'
         path.write_text(self._settings(vm), 'utf-8')
-        vm.process = self._start('flamingovalve.cmd.flamingovalved', str(path))
+        vm.process = self._start_process(
+            'flamingovalve.cmd.flamingovalved', str(path)
+        )
 
     @property
     def directory(self) -> str:
-        """Give the directory of the settings files."""
+        """Directory of the settings files."""
         assert self._directory is not None
         return self._directory.name
 
@@ -115,33 +117,36 @@
             http_request.urlopen(request, timeout=10).close()
 
     def wait_ready(self, seconds: float = 30) -> None:
-        """Wait until every daemon is ready and every engine is owned."""
+        """Wait until every daemon is ready and every engine has an owner.
+
+        :raises TimeoutError: if that takes longer than ``seconds``
+        """
         end = time.monotonic() + seconds
         while not self._is_settled():
             if time.monotonic() > end:
-                raise TimeoutError('the fleet did not settle')
+                raise TimeoutError('the fleet did not settle in time')
             time.sleep(0.1)
 
     def owners(self) -> dict[str, str]:
-        """Give the VM that owns each engine."""
-        found = {}
+        """Return the id of the VM that owns each engine."""
+        owners_by_engine = {}
         for vm in self.vms:
             state = get_json(vm.http_address, '/state')
-            for engine, owned in (state or {}).get('engines', {}).items():
-                if owned['leased']:
-                    found[engine] = vm.id
-        return found
+            for engine, entry in (state or {}).get('engines', {}).items():
+                if entry['leased']:
+                    owners_by_engine[engine] = vm.id
+        return owners_by_engine
 
     def _start_all(self) -> None:
         shape = self.shape
         self._configuration = free_address()
         self._store = free_address()
-        self._stand_in('configuration', self._configuration)
-        self._stand_in('store', self._store)
+        self._start_stand_in('configuration', self._configuration)
+        self._start_stand_in('store', self._store)
         for _replica in range(shape.service_replicas):
             address = free_address()
             self.service_addresses.append(address)
-            self._stand_in('service', address)
+            self._start_stand_in('service', address)
         for index in range(shape.engines):
             self._start_engine(index)
         for index in range(shape.vms):
@@ -169,12 +174,14 @@
         ]
         if not self.shape.fencing:
             options.append('--no-fencing')
-        self._stand_in('engine', address, *options)
+        self._start_stand_in('engine', address, *options)
 
-    def _stand_in(self, kind: str, address: str, *options: str) -> None:
-        self._start('standins.run', kind, address, *options)
+    def _start_stand_in(self, kind: str, address: str, *options: str) -> None:
+        self._start_process('standins.run', kind, address, *options)
 
-    def _start(self, module: str, *arguments: str) -> subprocess.Popen[bytes]:
+    def _start_process(
+        self, module: str, *arguments: str
+    ) -> subprocess.Popen[bytes]:
         process = subprocess.Popen(
             [sys.executable, '-m', module, *arguments],
         )
@@ -187,7 +194,7 @@
                 process.send_signal(signal.SIGCONT)
                 process.kill()
         for process in self._running:
-            process.wait(_STOP_SECONDS)
+            process.wait(_STOP_TIMEOUT_SECONDS)
         if self._directory is not None:
             self._directory.cleanup()
 
@@ -224,8 +231,8 @@
             }
             for vm in self.vms
         ]
-        listed = {'revision': 1, 'vms': vms}
-        put(self._configuration, 'fleet/vms', as_json(listed))
+        vm_list = {'revision': 1, 'vms': vms}
+        put(self._configuration, 'fleet/vms', as_json(vm_list))
 
     def _pages(self) -> list[tuple[str, dict[str, Any]]]:
         shape = self.shape
@@ -247,8 +254,8 @@
             'services': [_service(self.service_addresses)],
         }
         pages: list[tuple[str, dict[str, Any]]] = [('inventory/1/base', base)]
-        for start in range(0, shape.adapters, _PAGE_ADAPTERS):
-            end = min(start + _PAGE_ADAPTERS, shape.adapters)
+        for start in range(0, shape.adapters, _ADAPTERS_PER_PAGE):
+            end = min(start + _ADAPTERS_PER_PAGE, shape.adapters)
             adapters = [_adapter(index) for index in range(start, end)]
             key = f'inventory/1/adapters-{start}'
             pages.append((key, {'adapters': adapters}))
@@ -256,7 +263,7 @@
 
 
 def adapter_name(index: int) -> str:
-    """Give the name of the adapter of that popularity."""
+    """Return the name of the adapter with popularity rank ``index``."""
     return f'adapter-{index:05d}'
 
 
@@ -283,12 +290,12 @@
 
 
 def as_json(content: object) -> bytes:
-    """Give ``content`` as JSON."""
+    """Encode ``content`` as JSON."""
     return json.dumps(content).encode()
 
 
 def free_address() -> str:
-    """Give an IP:port that nothing listens at."""
+    """Return an IP:port at which nothing listens."""
     with socket.socket() as probe:
         probe.bind(('127.0.0.1', 0))
         host, port = probe.getsockname()
@@ -296,7 +303,10 @@
 
 
 def wait_listening(address: str, seconds: float = 20) -> None:
-    """Wait until something accepts connections at ``address``."""
+    """Wait until a server accepts connections at ``address``.
+
+    :raises TimeoutError: if that takes longer than ``seconds``
+    """
     host, port = address.split(':')
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -308,7 +318,7 @@
 
 
 def put(address: str, key: str, content: bytes) -> None:
-    """Publish a value at the stand-in of the configuration service."""
+    """Publish a value to the stand-in for the configuration service."""
     request = http_request.Request(
         f'http://{address}/v1/keys/{key}',
         content,
@@ -318,9 +328,11 @@
 
 
 def get_json(address: str, path: str) -> dict[str, Any] | None:
-    """Give a JSON answer; nothing when there is none."""
+    """Return a JSON response; None if the request failed."""
     try:
-        with http_request.urlopen(f'http://{address}{path}', timeout=2) as got:
-            return json.load(got)
+        with http_request.urlopen(
+            f'http://{address}{path}', timeout=2
+        ) as response:
+            return json.load(response)
     except (OSError, ValueError):
         return None
--- a/demo/run.py
+++ b/demo/run.py
@@ -1,4 +1,4 @@
-"""Shows both deployments' shape, small: load, a loss, a payment."""
+"""Demo of both deployments, scaled down: load, failover and a payment."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 REQUESTS = int(os.environ.get('DEMO_REQUESTS', '240'))
 RATE = 40.0
 SEED = 7
-WATCH_SECONDS = 30
+MAX_TAKEOVER_SECONDS = 30
 
 INDUS_CREST = Shape(
     'Indus Crest',
@@ -47,9 +47,9 @@
 
 
 def main() -> int:
-    """Run the demo; the exit status tells whether all went well."""
+    """Run the demo and return its exit status: 0 if every check passed."""
     rows = []
-    well = True
+    all_passed = True
     for shape in (INDUS_CREST, ZAHRADNI_KARTA):
         print(
             f'{shape.name}: starting {shape.vms} VMs, {shape.engines} '
@@ -57,11 +57,11 @@
         )
         with Processes(shape) as fleet:
             fleet.wait_ready()
-            well &= _show_commands(fleet.vms[0])
-            row, good = _show_load(fleet)
+            all_passed &= _show_commands(fleet.vms[0])
+            row, passed = _show_load(fleet)
             rows.append((shape.name, *row))
-            well &= good
-            well &= _show_payment(fleet)
+            all_passed &= passed
+            all_passed &= _show_payment(fleet)
     head = (
         'DEPLOYMENT',
         'REQUESTS',
@@ -75,8 +75,8 @@
     )
     print()
     print(table(head, rows))
-    print('all is well' if well else 'SOMETHING WENT WRONG')
-    return 0 if well else 1
+    print('all is well' if all_passed else 'SOMETHING WENT WRONG')
+    return 0 if all_passed else 1
 
 
 def _show_commands(vm: Vm) -> bool:
@@ -99,10 +99,10 @@
 def _show_load(fleet: Processes) -> tuple[tuple[object, ...], bool]:
     addresses = [vm.http_address for vm in fleet.vms]
     load = Load(addresses[1:], fleet.shape.adapters, SEED)
-    victim = _an_owner(fleet)
-    watch = Takeover(fleet, victim)
-    curio.run(load.run, REQUESTS, RATE, watch.start)
-    watch.join()
+    victim = _pick_owner(fleet)
+    takeover = Takeover(fleet, victim)
+    curio.run(load.run, REQUESTS, RATE, takeover.start)
+    takeover.join()
     figures = load.figures
     row = (
         REQUESTS,
@@ -112,35 +112,36 @@
         figures.tries,
         round(figures.percentile(0.5), 2),
         round(figures.percentile(0.95), 2),
-        f'under {watch.seconds:.1f}',
+        f'under {takeover.seconds:.1f}',
     )
     return row, figures.answered == REQUESTS
 
 
-def _an_owner(fleet: Processes) -> Vm:
+def _pick_owner(fleet: Processes) -> Vm:
     owners = set(fleet.owners().values())
     return next(vm for vm in fleet.vms[1:] if vm.id in owners)
 
 
 class Takeover(threading.Thread):
-    """Kills an owner and measures, beside the load, until others own.
+    """Kills an owner under load and measures until its engines have owners.
 
-    :ivar seconds: from the signal to the first look that shows it
+    :ivar seconds: time from the signal to the first poll that finds an owner
+        for every engine; infinite if none does
     """
 
     def __init__(self, fleet: Processes, victim: Vm) -> None:
-        """Kill ``victim`` once started."""
+        """Create a thread that kills ``victim`` when it is started."""
         super().__init__()
         self.seconds = float('inf')
         self._fleet = fleet
         self._victim = victim
 
     def run(self) -> None:
-        """Kill and watch."""
+        """Kill the VM and poll until every engine has an owner."""
         print(f'SIGKILL to {self._victim.id}, which owns engines')
         self._fleet.signal(self._victim, signal.SIGKILL)
         killed_at = time.monotonic()
-        while time.monotonic() - killed_at < WATCH_SECONDS:
+        while time.monotonic() - killed_at < MAX_TAKEOVER_SECONDS:
             if len(self._fleet.owners()) == self._fleet.shape.engines:
                 self.seconds = time.monotonic() - killed_at
                 return
@@ -148,12 +149,13 @@
 
 
 def _show_payment(fleet: Processes) -> bool:
-    alive = [vm for vm in fleet.vms if get_json(vm.http_address, '/readyz')]
+    ready_vms = [vm for vm in fleet.vms if get_json(vm.http_address, '/readyz')]
     query = f'service=orders&call=pay&application={APPLICATION}'
-    entry = get_json(alive[0].http_address, f'/v1/entry?{query}')
+    entry = get_json(ready_vms[0].http_address, f'/v1/entry?{query}')
     assert entry is not None
     answers = [
-        _pay(vm.http_address, entry['permit']) for vm in (*alive[:3], alive[0])
+        _pay(vm.http_address, entry['permit'])
+        for vm in (*ready_vms[:3], ready_vms[0])
     ]
     runs = sum(
         _runs(address, entry['permit']) for address in fleet.service_addresses
@@ -175,8 +177,8 @@
     try:
         with http_request.urlopen(request, timeout=30) as answered:
             return answered.read()
-    except http_error.HTTPError as refused:
-        return refused.read()
+    except http_error.HTTPError as error:
+        return error.read()
 
 
 def _runs(address: str, _permit: str) -> int:
