--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -2,7 +2,7 @@
 
 from hypothesis import HealthCheck, settings
 
-# The same examples every time, whatever the machine does meanwhile.
+# Deterministic examples, independent of the load of the machine.
 settings.register_profile(
     'fixed',
     derandomize=True,
--- a/tests/fuzz.py
+++ b/tests/fuzz.py
@@ -1,4 +1,4 @@
-"""Runs the stateful fuzzer for longer: ``python -m tests.fuzz --seed 3``."""
+"""Runs the stateful fuzzer at length: ``python -m tests.fuzz --seed 3``."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def main() -> int:
-    """Run as many runs as asked for; report what they did."""
+    """Execute the requested runs and print their statistics."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--runs', type=int, default=100)
@@ -23,7 +23,7 @@
     phases = [Phase.generate]
     if arguments.shrink:
         phases.append(Phase.shrink)
-    chosen = settings(
+    fuzz_settings = settings(
         max_examples=arguments.runs,
         stateful_step_count=arguments.steps,
         phases=phases,
@@ -37,7 +37,7 @@
     try:
         run_state_machine_as_test(
             seed(arguments.seed)(FleetMachine),
-            settings=chosen,
+            settings=fuzz_settings,
         )
     finally:
         print('steps and faults:', dict(sorted(EXECUTED.items())))
--- a/tests/rig/__init__.py
+++ b/tests/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Whole daemons on loopback sockets under a virtual clock."""
+"""Test rig: whole daemons on loopback sockets and a virtual clock."""
--- a/tests/rig/addresses.py
+++ b/tests/rig/addresses.py
@@ -1,4 +1,4 @@
-"""Free loopback addresses."""
+"""Allocates free loopback addresses."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 _PORTS = itertools.count(_FIRST_PORT)
 _PEER_PORT = 7380
 _BLOCKS = 64
-# Sockets that keep other runs out of a block for as long as this one lives.
-_GUARDS: list[socket.socket] = []
+# Bound sockets that reserve a block of addresses until this process ends.
+_BLOCK_RESERVATIONS: list[socket.socket] = []
 
 
 def free_address() -> str:
-    """Give an IP:port that nothing listens at, for TCP and UDP.
+    """Return an IP:port that is free for TCP and UDP.
 
-    The host is one of the loopback range that belongs to this process
-    alone, so that runs side by side do not take each other's ports.
+    The host is a loopback address that only this process uses, so that
+    concurrent test runs do not compete for ports.
     """
-    host = own_host()
+    host = process_host()
     while True:
         port = next(_PORTS)
         if _is_free(host, port, socket.SOCK_STREAM) and _is_free(
@@ -32,35 +32,37 @@
             return f'{host}:{port}'
 
 
-def own_host() -> str:
-    """Give the loopback address that belongs to this process."""
-    # Asked anew each time: a forked process must not share its parent's.
-    own = os.getpid()
-    return f'127.{64 + (own >> 16) % 64}.{own >> 8 & 255}.{own % 254 + 1}'
+def process_host() -> str:
+    """Return the loopback address of this process, from its PID."""
+    # Not cached, as a forked process must not use the address of its parent.
+    pid = os.getpid()
+    return f'127.{64 + (pid >> 16) % 64}.{pid >> 8 & 255}.{pid % 254 + 1}'
 
 
 def peer_address(index: int) -> str:
-    """Give the peer address of a VM, the same in each run of the tests.
+    """Return the peer address of a VM, the same in each test run.
 
-    Who owns what is decided by hashes of these addresses, so a seed plays
-    the same only where they are the same. Runs side by side take different
-    blocks; the first block is free wherever one runs alone.
+    Ownership depends on hashes of these addresses, so a seed is reproducible
+    only with the same addresses. Concurrent runs use different blocks; a run
+    on its own always gets the first block.
     """
-    return f'127.200.{_own_block()}.{index + 1}:{_PEER_PORT}'
+    return f'127.200.{_reserve_block()}.{index + 1}:{_PEER_PORT}'
 
 
 @functools.cache
-def _own_block() -> int:
+def _reserve_block() -> int:
     for block in range(_BLOCKS):
-        guard = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            guard.bind((f'127.200.{block}.254', _PEER_PORT))
+            reservation.bind((f'127.200.{block}.254', _PEER_PORT))
         except OSError:
-            guard.close()
+            reservation.close()
             continue
-        _GUARDS.append(guard)
+        _BLOCK_RESERVATIONS.append(reservation)
         return block
-    raise RuntimeError('every block of addresses is taken; end other runs')
+    raise RuntimeError(
+        'all blocks of peer addresses are in use; end other test runs'
+    )
 
 
 def _is_free(host: str, port: int, kind: int) -> bool:
--- a/tests/rig/counting.py
+++ b/tests/rig/counting.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin that closes a run with one line of counts."""
+"""A nose2 plugin that prints a summary line at the end of a run."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class CountingPlugin(events.Plugin):
-    """Counts outcomes as the tests end."""
+    """Counts the outcomes of tests."""
 
     alwaysOn = True
 
     def __init__(self) -> None:
-        """Start at nothing."""
+        """Set all counts to zero."""
         self.counts: Counter[str] = Counter()
 
     def testOutcome(self, event: Any) -> None:
-        """Count one test."""
-        well = event.outcome == 'passed' or event.expected
-        self.counts['passed' if well else event.outcome] += 1
+        """Count the outcome of one test; an expected failure has passed."""
+        has_passed = event.outcome == 'passed' or event.expected
+        self.counts['passed' if has_passed else event.outcome] += 1
 
     def afterSummaryReport(self, event: Any) -> None:
         """Print the counts."""
--- a/tests/rig/keys.py
+++ b/tests/rig/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys as callers make them."""
+"""Generates idempotency keys as callers do."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 def uuid7(seconds: float) -> str:
-    """Give a UUIDv7 made at the Unix time ``seconds``."""
-    made = int(seconds * 1000) << 80
+    """Return a UUIDv7 with the Unix timestamp ``seconds``."""
+    timestamp = int(seconds * 1000) << 80
     random_part = next(_COUNTER)
-    bits = made | _VERSION << 76 | _VARIANT << 62 | random_part
+    bits = timestamp | _VERSION << 76 | _VARIANT << 62 | random_part
     return str(uuid.UUID(int=bits))
--- a/tests/rig/machine.py
+++ b/tests/rig/machine.py
@@ -34,13 +34,14 @@
     st.integers(1, 2),
 )
 
-# What all runs of this process did, for the report.
+# Statistics of all runs in this process: steps and faults, and the outcomes
+# of payments.
 EXECUTED: Counter[str] = Counter()
 OUTCOMES: Counter[str] = Counter()
 
 
 def calm(settings: Any) -> None:
-    """Make time-outs short, so that a step reaches them."""
+    """Shorten the timeouts, so that they expire within a step."""
     settings.relay.first_byte_seconds = 6
     settings.relay.chunk_seconds = 2
 
@@ -245,7 +246,7 @@
         finally:
             self.fleet.close()
 
-    # -- Helpers
+    # -- Helper methods
 
     def _settle(self) -> None:
         for vm_id in sorted(self.paused):
@@ -266,7 +267,7 @@
         assert response.status == 200, response
 
     def _reap(self) -> None:
-        # A VM that has left by itself is as good as ended.
+        # The process of a VM that has left is ended, so it can be replaced.
         for vm_id in sorted(self.leaving):
             vm = self.fleet.vms_by_id[vm_id]
             if vm.daemon is not None and vm.daemon.stopped.is_set():
--- a/tests/rig/network.py
+++ b/tests/rig/network.py
@@ -1,4 +1,4 @@
-"""Loopback sockets whose links can be cut, silenced or made to lose."""
+"""Loopback sockets with injected faults: partitions, stalls, packet loss."""
 
 from __future__ import annotations
 
@@ -12,33 +12,37 @@
 
 from flamingovalve.util.listeners import split_address
 from flamingovalve.util.network import Network
-from tests.rig.addresses import own_host
+from tests.rig.addresses import process_host
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from tests.rig.world import Traffic
 
-_POLL_SECONDS = 0.05
+_POLL_INTERVAL_SECONDS = 0.05
 
 
 class Links:
-    """Which node reaches which, for all nodes of a world."""
+    """Reachability between all nodes of a world.
+
+    :ivar loss: probability that a datagram is lost
+    :ivar node_by_address: name of the node that uses an address
+    """
 
     def __init__(self, seed: int, traffic: Traffic) -> None:
-        """Start with every link whole."""
+        """Create links without faults."""
         self.traffic = traffic
         self.loss = 0.0
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.node_by_address: dict[tuple[str, int], str] = {}
         self._cut: set[tuple[str, str]] = set()
 
     def cut(self, origin: str, target: str) -> None:
-        """Lose everything that ``origin`` sends to ``target``."""
+        """Block the direction from ``origin`` to ``target``."""
         self._cut.add((origin, target))
 
     def partition(self, left: Iterable[str], right: Iterable[str]) -> None:
-        """Cut both directions between two groups of nodes."""
+        """Block both directions between two groups of nodes."""
         others = list(right)
         for origin in left:
             for target in others:
@@ -46,34 +50,37 @@
                 self.cut(target, origin)
 
     def heal(self) -> None:
-        """Make every link whole again."""
+        """Unblock every link."""
         self._cut.clear()
 
     def passes(self, origin: str, target: str) -> bool:
-        """Tell whether what ``origin`` sends reaches ``target``."""
+        """Return whether the direction from ``origin`` to ``target`` is open."""
         return (origin, target) not in self._cut
 
     def loses_datagram(self) -> bool:
-        """Draw whether a datagram is lost."""
-        return self.loss > 0 and self.chance.random() < self.loss
+        """Return at random, with probability ``loss``, that one is lost."""
+        return self.loss > 0 and self.rng.random() < self.loss
 
 
 class FaultSocket(Socket):
-    """A connection that a cut link delays and a silenced one never resumes."""
+    """A stream socket that is delayed by a cut link or stalled for good.
+
+    :ivar silent: whether the socket drops all data, in both directions
+    """
 
     def __init__(self, raw: Any, network: FaultNetwork, remote: str) -> None:
-        """Wrap ``raw``, which leads to the node ``remote``."""
+        """Wrap ``raw``, which is connected to the node ``remote``."""
         super().__init__(raw)
         self.remote = remote
         self.silent = False
         self._network = network
-        self._held = b''
+        self._send_buffer = b''
 
     async def recv(self, maxsize: int, flags: int = 0) -> bytes:
-        """Receive once the link lets something through."""
+        """Receive data, after waiting for the link to be open."""
         while True:
-            if not self._arrives():
-                await curio.sleep(_POLL_SECONDS)
+            if not self._can_receive():
+                await curio.sleep(_POLL_INTERVAL_SECONDS)
                 continue
             await self._flush()
             try:
@@ -82,26 +89,26 @@
                 await _read_wait(self._fileno)
 
     async def sendall(self, data: bytes, flags: int = 0) -> None:
-        """Send, or hold what is sent while the link is cut."""
+        """Send data, or buffer it while the link is cut."""
         if self.silent:
             return
-        if not self._leaves():
-            self._held += bytes(data)
+        if not self._can_send():
+            self._send_buffer += bytes(data)
             return
         await self._flush()
-        self._network.links.traffic.moved = True
+        self._network.links.traffic.has_sent = True
         await super().sendall(data, flags)
 
     async def _flush(self) -> None:
-        if self._held and self._leaves() and not self.silent:
-            held, self._held = self._held, b''
-            await super().sendall(held)
+        if self._send_buffer and self._can_send() and not self.silent:
+            buffered, self._send_buffer = self._send_buffer, b''
+            await super().sendall(buffered)
 
-    def _leaves(self) -> bool:
+    def _can_send(self) -> bool:
         links = self._network.links
         return links.passes(self._network.node, self.remote)
 
-    def _arrives(self) -> bool:
+    def _can_receive(self) -> bool:
         links = self._network.links
         return not self.silent and links.passes(
             self.remote,
@@ -110,29 +117,29 @@
 
 
 class FaultDatagrams(Socket):
-    """A datagram socket whose datagrams are lost on cut links."""
+    """A datagram socket that drops datagrams on cut or lossy links."""
 
     def __init__(self, raw: Any, network: FaultNetwork) -> None:
-        """Wrap ``raw``."""
+        """Wrap the socket ``raw``."""
         super().__init__(raw)
         self._network = network
 
     async def sendto(self, data: bytes, address: Any) -> int:
-        """Send, unless the link loses it."""
+        """Send a datagram, unless the link drops it."""
         links = self._network.links
         target = links.node_by_address.get(address, '')
         passes = links.passes(self._network.node, target)
         if not passes or links.loses_datagram():
             return len(data)
-        links.traffic.moved = True
+        links.traffic.has_sent = True
         return await super().sendto(data, address)
 
 
 class FaultNetwork(Network):
-    """The network as one node sees it."""
+    """The network interface of one node."""
 
     def __init__(self, links: Links, node: str) -> None:
-        """Open sockets of the node ``node``."""
+        """Create the network interface of the node ``node``."""
         super().__init__()
         self.links = links
         self.node = node
@@ -140,20 +147,23 @@
         self.connections: list[FaultSocket] = []
 
     async def connect(self, address: str, seconds: float) -> Socket:
-        """Connect, or hang while the link is cut."""
+        """Connect, waiting while the link is cut.
+
+        :raises TimeoutError: if that takes longer than ``seconds``
+        """
         target = split_address(address)
         remote = self.links.node_by_address.get(target, '')
         opened = self._wrap(plain.socket(), remote)
         try:
             async with curio.timeout_after(seconds):
-                while not self._both_ways(remote):
-                    await curio.sleep(_POLL_SECONDS)
-                opened.bind((own_host(), 0))
+                while not self._is_mutually_reachable(remote):
+                    await curio.sleep(_POLL_INTERVAL_SECONDS)
+                opened.bind((process_host(), 0))
                 self.links.node_by_address[opened.getsockname()] = self.node
                 await self._finish_connect(opened, target)
-        except curio.TaskTimeout as late:
+        except curio.TaskTimeout as error:
             await opened.close()
-            raise TimeoutError(f'no answer from {address}') from late
+            raise TimeoutError(f'no answer from {address}') from error
         except BaseException:
             await opened.close()
             raise
@@ -173,21 +183,21 @@
             traffic.connecting[self.node] -= 1
 
     def listen(self, address: str) -> Socket:
-        """Accept connections at ``address``."""
+        """Listen for connections at ``address``."""
         opened = super().listen(address)
         self._track(opened._socket)
         self.links.node_by_address[split_address(address)] = self.node
         return opened
 
     def datagrams(self, address: str) -> Socket:
-        """Send and receive datagrams at ``address``."""
+        """Open a datagram socket at ``address``."""
         opened = super().datagrams(address)
         self._track(opened._socket)
         self.links.node_by_address[split_address(address)] = self.node
         return FaultDatagrams(opened._socket, self)
 
     async def accept(self, listening: Socket) -> Socket:
-        """Wait for the next connection."""
+        """Accept the next connection."""
         accepted, origin = await listening.accept()
         remote = self.links.node_by_address.get(origin, '')
         wrapped = self._wrap(accepted._socket, remote)
@@ -195,9 +205,9 @@
         return wrapped
 
     def silence(self, remote: str) -> int:
-        """Silence the open connections to ``remote`` for good.
+        """Stall the open connections to ``remote`` for good.
 
-        :returns: how many there were
+        :returns: the number of those connections
         """
         silenced = [
             connection
@@ -209,25 +219,25 @@
         return len(silenced)
 
     def hang_up(self) -> None:
-        """End every open connection the way an application does."""
+        """Shut down every open connection, as an application does."""
         for connection in self.connections:
             if connection.fileno() >= 0:
                 connection._socket.shutdown(plain.SHUT_RDWR)
 
     def close_all(self) -> None:
-        """Close every socket at once, as the end of a process does."""
+        """Close every socket, as the operating system does for a dead process."""
         for raw in self.open_sockets:
             raw.close()
         self.open_sockets.clear()
         self.connections.clear()
 
-    def _both_ways(self, remote: str) -> bool:
-        there = self.links.passes(self.node, remote)
-        return there and self.links.passes(remote, self.node)
+    def _is_mutually_reachable(self, remote: str) -> bool:
+        can_send = self.links.passes(self.node, remote)
+        return can_send and self.links.passes(remote, self.node)
 
     def _track(self, raw: Any) -> None:
         self.open_sockets = [
-            known for known in self.open_sockets if known.fileno() >= 0
+            tracked for tracked in self.open_sockets if tracked.fileno() >= 0
         ]
         self.open_sockets.append(raw)
 
@@ -235,7 +245,7 @@
         self._track(raw)
         wrapped = FaultSocket(raw, self, remote)
         self.connections = [
-            known for known in self.connections if known.fileno() >= 0
+            tracked for tracked in self.connections if tracked.fileno() >= 0
         ]
         self.connections.append(wrapped)
         return wrapped
--- a/tests/rig/timeline.py
+++ b/tests/rig/timeline.py
@@ -1,4 +1,4 @@
-"""A clock that a test of plain decisions sets by hand."""
+"""A manual clock for unit tests."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class TimedTestCase(unittest.TestCase):
-    """A test whose clock stands still until it is advanced."""
+    """A test case whose clock only moves when it is advanced."""
 
     def setUp(self) -> None:
-        """Stop the clock."""
+        """Replace the clock by a stopped one."""
         self.moment = _START
         clock.replace_source(lambda: self.moment, lambda: self.moment)
         self.addCleanup(clock.restore_source)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Move the clock forward."""
         self.moment += seconds
--- a/tests/rig/world.py
+++ b/tests/rig/world.py
@@ -1,9 +1,9 @@
-"""Nodes that share a virtual clock; each is a curio kernel of its own.
+"""Nodes that share a virtual clock; each runs in its own curio kernel.
 
-One kernel a node makes a pause exact: a paused node is not stepped, while
-its sockets go on accepting as those of a stopped process do. Time moves
-only when no node has anything left to do, so a run takes as long as its
-events and gives the same history every time.
+Separate kernels model a stopped process exactly: a paused node is not
+stepped, while its listening sockets still accept connections in the operating
+system. Time advances only when no node has runnable tasks, so a run takes only
+as long as processing its events, and is reproducible.
 """
 
 from __future__ import annotations
@@ -29,39 +29,39 @@
 
 _START = 1000.0
 _WALL_START = 1_750_000_000.0
-_MOST_STEPS_AT_ONCE = 200_000
-_MOST_CLEANUP_AWAITS = 100
-_DELIVERY_SECONDS = 0.00002
-_MOST_LOOKS = 200_000
+_MAX_STEPS_WITHOUT_ADVANCE = 200_000
+_MAX_CLEANUP_AWAITS = 100
+_DELIVERY_POLL_SECONDS = 0.00002
+_MAX_DELIVERY_POLLS = 200_000
 
 
 class OrderedSelector(selectors.EpollSelector):
-    """Never blocks, and gives events in the order of registration."""
+    """A selector that never blocks and orders events by registration."""
 
     def __init__(self) -> None:
-        """Start without any descriptor."""
+        """Create a selector without descriptors."""
         super().__init__()
         self._registered = 0
         self._order: dict[int, int] = {}
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> Any:
-        """Register a descriptor and remember its place."""
+        """Register a descriptor and record its position in the order."""
         key = super().register(fileobj, events, data)
         self._registered += 1
         self._order[key.fd] = self._registered
         return key
 
     def select(self, timeout: float | None = None) -> Any:
-        """Give what is ready now."""
+        """Return the ready events, whatever ``timeout`` is."""
         ready = super().select(0)
         return sorted(ready, key=lambda pair: self._order[pair[0].fd])
 
 
 class Node:
-    """One process: a kernel, its tasks and its network."""
+    """A simulated process: a curio kernel, its tasks and its network."""
 
     def __init__(self, name: str, network: Any) -> None:
-        """Make a node that runs nothing yet."""
+        """Create a node without tasks."""
         self.name = name
         self.network = network
         self.paused = False
@@ -78,7 +78,7 @@
         work: Callable[..., Awaitable[Any]],
         *arguments: Any,
     ) -> curio.Task:
-        """Start a task on this node."""
+        """Start a task on this node and return it."""
 
         async def start() -> curio.Task:
             return await curio.spawn(work, *arguments, daemon=True)
@@ -86,19 +86,23 @@
         return self.kernel.run(start)
 
     def has_ready_tasks(self) -> bool:
-        """Tell whether a task could run now."""
+        """Return whether a task is ready to run."""
         return bool(self._ready)
 
     def next_wake(self, moment: float) -> float | None:
-        """Give the seconds until a task sleeping on this node wakes."""
+        """Return the seconds until the next timer of this node expires.
+
+        :returns: None if no task sleeps
+        """
         return self._sleeping.next_deadline(moment)
 
     def destroy(self) -> None:
-        """End the process the way SIGKILL does: nothing is cleaned up."""
+        """End the process without any cleanup, as SIGKILL does."""
         self.dead = True
         self.network.close_all()
         for task in list(self.kernel._tasks.values()):
-            # curio complains of tasks that nobody joined; these are killed.
+            # curio warns of unjoined tasks, unless they are daemons; killed
+            # tasks are never joined.
             task.daemon = True
             _close_quietly(task._run_coro)
             _close_quietly(task.coro)
@@ -108,40 +112,41 @@
 
 
 class CrashLog(logging.Handler):
-    """Collects the tasks that ended by an exception nobody expected."""
+    """Collects the tasks that ended with an unhandled exception."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Create a log without crashes."""
         super().__init__(logging.ERROR)
         self.crashes: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Note one crash with its trace."""
+        """Record a crash with its traceback."""
         self.crashes.append(logging.Formatter().format(record))
 
 
 class Traffic:
-    """What is on its way through the loopback device.
+    """Data in flight on the loopback device.
 
-    The kernel usually delivers at once, but on a busy machine it may defer
-    that for a moment. If virtual time moved meanwhile, a refused connection
-    would look like a silent one and the same seed would give two histories.
+    The operating system usually delivers loopback data immediately, but may
+    defer it on a busy machine. If virtual time advanced before the delivery,
+    a refused connection would look like an unresponsive one, and the same
+    seed would produce different histories.
 
-    :ivar connecting: connections that are being opened, by node
-    :ivar moved: whether anything was sent since time last moved
+    :ivar connecting: number of connections being opened, by node
+    :ivar has_sent: whether anything was sent since the last wait for delivery
     """
 
     def __init__(self) -> None:
-        """Start with nothing on its way."""
+        """Create a record of no traffic."""
         self.connecting: Counter[str] = Counter()
-        self.moved = False
+        self.has_sent = False
 
 
 class World:
-    """All nodes of a test and the clock that they share."""
+    """All nodes of a test and the virtual clock that they share."""
 
     def __init__(self) -> None:
-        """Start the clock."""
+        """Install the virtual clock and collect crashes and errors."""
         self.traffic = Traffic()
         self.moment = _START
         self.nodes: list[Node] = []
@@ -157,36 +162,36 @@
         self.fault_log.push_application()
 
     def monotonic(self) -> float:
-        """Give the virtual monotonic time."""
+        """Return the virtual monotonic time in seconds."""
         return self.moment
 
     def wall(self) -> float:
-        """Give the virtual Unix time."""
+        """Return the virtual Unix time in seconds."""
         return self.moment - _START + _WALL_START
 
     def add(self, name: str, network: Any) -> Node:
-        """Add a node."""
+        """Create a node and add it to the world."""
         node = Node(name, network)
         self.nodes.append(node)
         self._master.register(node.selector.fileno(), select.EPOLLIN)
         return node
 
     def kill(self, node: Node) -> None:
-        """End a node as SIGKILL does."""
+        """End a node without any cleanup, as SIGKILL does."""
         if node.dead:
             return
         self.nodes.remove(node)
         self._master.unregister(node.selector.fileno())
-        hook = sys.unraisablehook
+        previous_hook = sys.unraisablehook
         sys.unraisablehook = _ignore_unraisable
         try:
             with logbook.NullHandler().applicationbound():
                 node.destroy()
         finally:
-            sys.unraisablehook = hook
+            sys.unraisablehook = previous_hook
 
     def advance(self, seconds: float) -> None:
-        """Let ``seconds`` pass."""
+        """Run the nodes for ``seconds`` of virtual time."""
         self.run_until(lambda: False, seconds)
 
     def run_until(
@@ -194,16 +199,16 @@
         done: Callable[[], bool],
         seconds: float = 60,
     ) -> bool:
-        """Run until ``done`` or until ``seconds`` have passed.
+        """Run until ``done`` holds or ``seconds`` of virtual time have passed.
 
-        :returns: whether it was done
+        :returns: whether ``done`` holds
         """
         end = self.moment + seconds
         while True:
-            self._settle(done)
+            self._run_until_idle(done)
             if done():
                 return True
-            if not self._move_time(end):
+            if not self._advance_to_next_timer(end):
                 return False
 
     def ask(
@@ -213,10 +218,13 @@
         *arguments: Any,
         seconds: float = 120,
     ) -> Any:
-        """Run ``work`` on a node to its end and give its result."""
+        """Run ``work`` on a node to completion and return its result.
+
+        :raises AssertionError: if it takes longer than ``seconds``
+        """
         task = node.spawn(work, *arguments)
         if not self.run_until(lambda: task.terminated, seconds):
-            raise AssertionError(f'{work} did not end in {seconds} s')
+            raise AssertionError(f'{work} did not complete within {seconds} s')
         if task.exception is not None:
             raise task.exception
         return task.result
@@ -224,7 +232,7 @@
     def close(self) -> None:
         """End every node and restore the real clock.
 
-        :raises AssertionError: when a task of any node crashed meanwhile
+        :raises AssertionError: if a task crashed or an error was logged
         """
         for node in list(self.nodes):
             self.kill(node)
@@ -237,73 +245,75 @@
         faults = self.fault_log.formatted_records
         assert not faults, faults[0]
 
-    def _settle(self, done: Callable[[], bool]) -> None:
-        for _step in range(_MOST_STEPS_AT_ONCE):
+    def _run_until_idle(self, done: Callable[[], bool]) -> None:
+        for _step in range(_MAX_STEPS_WITHOUT_ADVANCE):
             if done():
                 return
-            if not self._step_all() and not self._await_delivery():
+            if not self._step_nodes() and not self._await_delivery():
                 return
-        raise AssertionError('a node is busy without time passing')
+        raise AssertionError(
+            'the nodes do not become idle without time advancing'
+        )
 
     def _await_delivery(self) -> bool:
-        """Give the loopback device a moment; tell whether to look again."""
+        """Wait for data in flight; return whether nodes must be stepped again."""
         if any(
             self.traffic.connecting[node.name]
             for node in self.nodes
             if not node.paused
         ):
             return self._await_connections()
-        if not self.traffic.moved:
+        if not self.traffic.has_sent:
             return False
-        self.traffic.moved = False
-        time.sleep(_DELIVERY_SECONDS)
+        self.traffic.has_sent = False
+        time.sleep(_DELIVERY_POLL_SECONDS)
         return True
 
     def _await_connections(self) -> bool:
-        for _look in range(_MOST_LOOKS):
-            time.sleep(_DELIVERY_SECONDS)
-            if self._step_all():
+        for _poll in range(_MAX_DELIVERY_POLLS):
+            time.sleep(_DELIVERY_POLL_SECONDS)
+            if self._step_nodes():
                 return True
-        raise AssertionError('the loopback device does not connect')
+        raise AssertionError('loopback connections are not established')
 
-    def _step_all(self) -> bool:
+    def _step_nodes(self) -> bool:
         readable = {fd for fd, _mask in self._master.poll(0)}
         progressed = False
         for node in list(self.nodes):
             if node.paused or node.dead:
                 continue
-            due = node.next_wake(self.moment)
-            wakes = due is not None and due <= 0
+            timer_delay = node.next_wake(self.moment)
+            timer_expired = timer_delay is not None and timer_delay <= 0
             has_events = node.selector.fileno() in readable
-            if has_events or wakes or node.has_ready_tasks():
+            if has_events or timer_expired or node.has_ready_tasks():
                 node.kernel.run()
                 progressed = True
         return progressed
 
-    def _move_time(self, end: float) -> bool:
-        waits = [
-            wait
+    def _advance_to_next_timer(self, end: float) -> bool:
+        delays = [
+            delay
             for node in self.nodes
             if not node.paused
-            and (wait := node.next_wake(self.moment)) is not None
+            and (delay := node.next_wake(self.moment)) is not None
         ]
-        wake = self.moment + max(min(waits, default=float('inf')), 0)
-        if wake > end:
+        wake_at = self.moment + max(min(delays, default=float('inf')), 0)
+        if wake_at > end:
             self.moment = end
             return False
-        # The sum may round to just before the deadline; step over it.
-        self.moment = max(wake, self.moment + 1e-9)
+        # The sum may be rounded to just below the deadline, so step past it.
+        self.moment = max(wake_at, self.moment + 1e-9)
         return True
 
 
 def _ignore_unraisable(_unraisable: Any) -> None:
-    """Pass over what coroutines of a killed process complain of."""
+    """Ignore exceptions from closing the coroutines of a killed process."""
 
 
 def _close_quietly(coroutine: Any) -> None:
-    # A coroutine that awaits in its clean-up refuses to close; a killed
-    # process has no clean-up, so each await of it is cut short in turn.
-    for _attempt in range(_MOST_CLEANUP_AWAITS):
+    # close() raises RuntimeError if the coroutine awaits in its cleanup. A
+    # killed process runs no cleanup, so close again at each such await.
+    for _attempt in range(_MAX_CLEANUP_AWAITS):
         try:
             coroutine.close()
         except RuntimeError:
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""The stateful fuzzer with fixed seeds: the same verdict every time."""
+"""Runs the stateful fuzzer with fixed seeds, for reproducible results."""
 
 from __future__ import annotations
 
@@ -23,14 +23,15 @@
 
 
 class FuzzTest(unittest.TestCase):
-    """Every promise under random requests and faults."""
+    """Guarantees of the fleet under random requests and faults."""
 
     def test_promises_hold(self):
-        """Faults of every kind come at any moment, alone and together.
+        """Faults of every kind occur at any time, alone and combined.
 
-        Whatever they do, nothing runs twice, nothing that ran is called
-        "not run", no answer is partial or somebody else's, no adapter in
-        use is evicted, no version reverts, and the fleet settles again.
+        Guards against non-idempotent requests that run twice, requests
+        reported as not run although they ran, partial responses, responses
+        of another request, eviction of an adapter in use, version rollback,
+        and a fleet that does not settle after the faults.
         """
         run_state_machine_as_test(FleetMachine, settings=FIXED)
         self.assertGreater(EXECUTED['pay'], RUNS)
