--- a/tests/rig/network.py
+++ b/tests/rig/network.py
@@ -54,7 +54,7 @@
         self._cut.clear()
 
     def passes(self, origin: str, target: str) -> bool:
-        """Return whether the direction from ``origin`` to ``target`` is open."""
+        """Return whether data from ``origin`` reaches ``target``."""
         return (origin, target) not in self._cut
 
     def loses_datagram(self) -> bool:
@@ -225,7 +225,7 @@
                 connection._socket.shutdown(plain.SHUT_RDWR)
 
     def close_all(self) -> None:
-        """Close every socket, as the operating system does for a dead process."""
+        """Close every socket, as happens when a process dies."""
         for raw in self.open_sockets:
             raw.close()
         self.open_sockets.clear()
--- a/tests/rig/world.py
+++ b/tests/rig/world.py
@@ -256,7 +256,7 @@
         )
 
     def _await_delivery(self) -> bool:
-        """Wait for data in flight; return whether nodes must be stepped again."""
+        """Wait for data in flight; return whether to step the nodes again."""
         if any(
             self.traffic.connecting[node.name]
             for node in self.nodes
