--- a/benchmarks/bound.py
+++ b/benchmarks/bound.py
@@ -2,8 +2,8 @@
 
 All slots of a model form one pool, no adapter is pinned, batches are
 unlimited, and the victim is the adapter whose next request is furthest in the
-future. Only the load time of the store remains. No online policy does better
-unless it prefetches adapters before they are requested.
+future. Only the load time of the store remains. No policy on the real system
+does better unless it loads adapters before they are requested.
 """
 
 from __future__ import annotations
--- a/demo/load.py
+++ b/demo/load.py
@@ -25,7 +25,7 @@
 _TIMEOUT_SECONDS = 60
 _SKEW = 1.1
 _MAX_RETRY_SECONDS = 40
-_INITIAL_PAUSE_SECONDS = 0.2
+_DEFAULT_PAUSE_SECONDS = 0.2
 
 
 @dataclass
@@ -118,7 +118,7 @@
                 return response
             attempt += 1
             self._cached_addresses.pop(name, None)
-            pause = _INITIAL_PAUSE_SECONDS
+            pause = _DEFAULT_PAUSE_SECONDS
             if response is not None:
                 pause = float(response.header('retry-after') or pause)
             await curio.sleep(pause * self._rng.uniform(0.5, 1.5))
