--- a/flamingovalve/__init__.py
+++ b/flamingovalve/__init__.py
@@ -1,4 +1,4 @@
-"""A serving layer for very many LoRA adapters."""
+"""A serving layer for large numbers of LoRA adapters."""
 
 from typing import Final
 
--- a/flamingovalve/api.py
+++ b/flamingovalve/api.py
@@ -1,4 +1,4 @@
-"""What callers and operators can ask over HTTP."""
+"""The HTTP API for callers and operators."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
 _METRICS_TYPE: Final = 'text/plain; version=0.0.4; charset=utf-8'
 _SERVICE_PREFIX: Final = '/v1/services/'
 _BEARER: Final = 'Bearer '
-_LONGEST_KEY: Final = 512
-_LARGEST_NUMBER: Final = 1_000_000_000_000
+_MAX_KEY_CHARACTERS: Final = 512
+_MAX_HEADER_SECONDS: Final = 1_000_000_000_000
 
 
 class Api:
     """Dispatches the requests of one daemon by path."""
 
     def __init__(self, daemon: Daemon) -> None:
-        """Answer for ``daemon``."""
+        """Create the API of ``daemon``."""
         self._daemon = daemon
         self._settings = daemon.settings
         self._buckets: dict[ApplicationId, TokenBucket] = {}
@@ -61,14 +61,14 @@
         }
 
     async def __call__(self, request: Request, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if request.path in PATHS:
             _expect_method(request, 'POST')
-            await self._completion(request, responder)
+            await self._handle_completion(request, responder)
             return
         if request.path.startswith(_SERVICE_PREFIX):
             _expect_method(request, 'POST')
-            await self._call(request, responder)
+            await self._handle_call(request, responder)
             return
         route = self._routes.get((request.method, request.path))
         if route is None:
@@ -77,17 +77,17 @@
 
     # -- Callers
 
-    async def _completion(
+    async def _handle_completion(
         self,
         request: Request,
         responder: Responder,
     ) -> None:
-        self._check_working()
+        self._check_accepts_work()
         content = request.json_object()
         application = self._application(request)
         model = requested_model(content)
-        target = _expect(self._inventory.resolve(model, application))
-        self._take_token(application)
+        target = _unwrap(self._inventory.resolve(model, application))
+        self._check_rate_limit(application)
         work = CompletionWork.from_request(
             request,
             content,
@@ -98,50 +98,56 @@
         async with responder.watch_caller():
             await self._daemon.serve(work, responder)
 
-    async def _call(self, request: Request, responder: Responder) -> None:
+    async def _handle_call(
+        self, request: Request, responder: Responder
+    ) -> None:
         try:
-            made, service, call = self._service_request(request)
+            service_request, service, call = self._parse_service_request(
+                request
+            )
         except ServingError as refused:
             if KEY_HEADER in request.headers:
-                # This VM has not run it, but an earlier send under the same
-                # key may have run through another.
+                # This VM has not run the call, but an earlier attempt with the
+                # same key may have run through another VM.
                 refused.ran = Ran.UNKNOWN
             raise
-        await responder.send(await self._daemon.call(made, service, call))
+        await responder.send(
+            await self._daemon.call(service_request, service, call)
+        )
 
-    def _service_request(
+    def _parse_service_request(
         self,
         request: Request,
     ) -> tuple[ServiceRequest, Service, ServiceCall]:
         service_id, call_id = _service_path(request.path)
         application = self._application(request)
         service, call = self._find_call(service_id, call_id, application)
-        self._take_token(application)
+        self._check_rate_limit(application)
         if call.idempotent:
-            self._check_working()
-        made = ServiceRequest(
-            self._daemon.next_request_id(),
+            self._check_accepts_work()
+        service_request = ServiceRequest(
+            self._daemon.new_request_id(),
             application.id,
             service.id,
             call.id,
             request.headers.get('content-type', ''),
             request.body,
             self._deadline(request),
-            _key(request),
-            _key_time(request),
+            _idempotency_key(request),
+            _idempotency_time(request),
         )
-        return made, service, call
+        return service_request, service, call
 
     async def _entry(self, request: Request) -> Response:
         query = request.query
         credential = query.get('application') or _credential(request)
-        application = _expect(self._inventory.authorise(credential))
+        application = _unwrap(self._inventory.authorise(credential))
         if 'service' in query:
             return self._service_entry(query, application)
         if 'model' not in query:
             raise _missing_parameter()
-        target = _expect(self._inventory.resolve(query['model'], application))
-        answers = self._daemon.entries
+        target = _unwrap(self._inventory.resolve(query['model'], application))
+        answers = self._daemon.entry_answers
         return Response.from_json(
             answers.for_target(target, self._inventory),
         )
@@ -156,7 +162,7 @@
             query.get('call', ''),
             application,
         )
-        answer = self._daemon.entries.for_call(service.id, call.id)
+        answer = self._daemon.entry_answers.for_call(service.id, call.id)
         if not call.idempotent and not self._daemon.is_leaving:
             answer['permit'] = self._daemon.executor.make_permit(
                 application.id,
@@ -200,11 +206,11 @@
         return Response(HTTPStatus.OK, headers, body)
 
     async def _drain(self, request: Request) -> Response:
-        wanted = self._settings.operators.secret
-        if not wanted or request.headers.get(OPERATOR_HEADER) != wanted:
+        secret = self._settings.operators.secret
+        if not secret or request.headers.get(OPERATOR_HEADER) != secret:
             raise ServingError(
                 ErrorKind.APPLICATION_NOT_ALLOWED,
-                'draining needs the operators.secret of this VM; send it, '
+                'draining requires the operators.secret of this VM; send it, '
                 'or send SIGTERM to the process',
             )
         await self._daemon.begin_leaving()
@@ -216,16 +222,16 @@
     def _inventory(self) -> Inventory:
         return self._daemon.inventory()
 
-    def _check_working(self) -> None:
+    def _check_accepts_work(self) -> None:
         if self._daemon.refuses_work:
             raise ServingError(
                 ErrorKind.LEAVING,
-                'this VM is leaving; ask another one for /v1/entry',
+                'this VM is leaving; request /v1/entry from another VM',
                 retry_after=1,
             )
 
     def _application(self, request: Request) -> Application:
-        return _expect(self._inventory.authorise(_credential(request)))
+        return _unwrap(self._inventory.authorise(_credential(request)))
 
     def _find_call(
         self,
@@ -233,11 +239,11 @@
         call_id: str,
         application: Application,
     ) -> tuple[Service, ServiceCall]:
-        return _expect(
+        return _unwrap(
             self._inventory.find_call(service_id, call_id, application),
         )
 
-    def _take_token(self, application: Application) -> None:
+    def _check_rate_limit(self, application: Application) -> None:
         bucket = self._buckets.get(application.id)
         if bucket is None:
             limits = self._settings.limits
@@ -250,7 +256,7 @@
         if wait:
             raise ServingError(
                 ErrorKind.RATE_LIMITED,
-                f'application {application.id!r} sends faster than '
+                f'application {application.id!r} exceeds its rate limit of '
                 f'{self._settings.limits.application_rate:g} requests/s; '
                 'slow down',
                 retry_after=wait,
@@ -258,13 +264,13 @@
 
     def _deadline(self, request: Request) -> float:
         text = request.headers.get(DEADLINE_HEADER)
-        longest = self._settings.limits.request_seconds
+        max_seconds = self._settings.limits.request_seconds
         if text is None:
-            return clock.now() + longest
-        seconds = _number(text, DEADLINE_HEADER)
+            return clock.now() + max_seconds
+        seconds = _parse_seconds(text, DEADLINE_HEADER)
         if seconds <= 0:
-            raise _bad_number(DEADLINE_HEADER)
-        return clock.now() + min(seconds, longest)
+            raise _invalid_seconds(DEADLINE_HEADER)
+        return clock.now() + min(seconds, max_seconds)
 
     def _no_route(self, request: Request) -> ServingError:
         methods = [
@@ -274,11 +280,12 @@
             return _wrong_method(request.path, methods[0])
         return ServingError(
             ErrorKind.UNKNOWN_PATH,
-            f'nothing is at {request.path!r}; see the page for callers',
+            f'no route matches {request.path!r}; '
+            'see the documentation for callers',
         )
 
 
-def _expect(outcome: Any) -> Any:
+def _unwrap(outcome: Any) -> Any:
     if outcome.is_error():
         raise outcome.error
     return outcome.ok
@@ -306,40 +313,41 @@
     return service, call
 
 
-def _key(request: Request) -> str:
+def _idempotency_key(request: Request) -> str:
     key = request.headers.get(KEY_HEADER, '').strip()
-    if len(key) > _LONGEST_KEY:
+    if len(key) > _MAX_KEY_CHARACTERS:
         raise ServingError(
             ErrorKind.MALFORMED_REQUEST,
-            f'{KEY_HEADER} is over {_LONGEST_KEY} characters; use a UUIDv7',
+            f'{KEY_HEADER} exceeds {_MAX_KEY_CHARACTERS} characters; '
+            'use a UUIDv7',
         )
     return key
 
 
-def _key_time(request: Request) -> float:
+def _idempotency_time(request: Request) -> float:
     text = request.headers.get(KEY_TIME_HEADER)
-    return _number(text, KEY_TIME_HEADER) if text else 0
+    return _parse_seconds(text, KEY_TIME_HEADER) if text else 0
 
 
-def _number(text: str, name: str) -> float:
+def _parse_seconds(text: str, name: str) -> float:
     try:
         parsed = float(text)
     except ValueError as bad:
-        raise _bad_number(name) from bad
-    if not 0 <= parsed < _LARGEST_NUMBER:
-        raise _bad_number(name)
+        raise _invalid_seconds(name) from bad
+    if not 0 <= parsed < _MAX_HEADER_SECONDS:
+        raise _invalid_seconds(name)
     return parsed
 
 
-def _bad_number(name: str) -> ServingError:
+def _invalid_seconds(name: str) -> ServingError:
     return ServingError(
         ErrorKind.MALFORMED_REQUEST,
-        f'{name} is no positive number of seconds; send one',
+        f'{name} is not a positive number of seconds; correct it',
     )
 
 
 def _missing_parameter() -> ServingError:
     return ServingError(
         ErrorKind.MALFORMED_REQUEST,
-        "name 'model', or 'service' and 'call', in the query",
+        "the query needs 'model', or 'service' and 'call'",
     )
--- a/flamingovalve/daemon.py
+++ b/flamingovalve/daemon.py
@@ -1,4 +1,4 @@
-"""One entry VM: all its parts, put together."""
+"""The daemon of one entry VM, assembled from its components."""
 
 from __future__ import annotations
 
@@ -56,25 +56,25 @@
 
 logger = get_logger(__name__)
 
-_TICK_SECONDS: Final = 0.25
+_DRAIN_POLL_SECONDS: Final = 0.25
 _MICROSECONDS: Final = 1_000_000
 
 
 class Daemon:
-    """Everything that one process of flamingovalved does."""
+    """One flamingovalved process: components, servers and tasks."""
 
     def __init__(
         self,
         settings: Settings,
         network: Network,
-        chance: random.Random,
+        rng: random.Random,
         incarnation: Incarnation,
     ) -> None:
-        """Put the parts together; nothing runs yet."""
+        """Create and connect the components without starting them."""
         self.settings = settings
         self.incarnation = incarnation
         self.network = network
-        self.chance = chance
+        self.rng = rng
         self.in_progress = 0
         self.is_leaving = False
         self.refuses_work = False
@@ -83,14 +83,14 @@
         self.members = MemberTable(own_id, incarnation)
         self.pool = ConnectionPool(network, settings.relay)
         self.peers = PeerPool(network, settings, incarnation)
-        self.gossip = Gossip(network, self.members, settings.fleet, chance)
+        self.gossip = Gossip(network, self.members, settings.fleet, rng)
         self.service = ConfigurationService(self.pool, settings.configuration)
         self.keeper = ConfigurationKeeper(
             settings,
             self.service,
             self.peers,
             self.members,
-            chance,
+            rng,
         )
         self.background = TaskSet()
         self._build_serving(own_id)
@@ -105,19 +105,19 @@
     ) -> Self:
         """Build the daemon of ``settings``.
 
-        :param seed: of random choices; none for real randomness
+        :param seed: of all random choices; ``None`` for an unpredictable one
         """
         incarnation = Incarnation(int(clock.wall() * _MICROSECONDS))
         return cls(settings, network, random.Random(seed), incarnation)
 
     def _build_serving(self, own_id: VmId) -> None:
-        settings, chance = self.settings, self.chance
+        settings, rng = self.settings, self.rng
         scheduling = settings.scheduling
         self.breakers = BreakerSet(settings.relay)
         self.budget = RetryBudget(settings.relay)
         self.quarantine = Quarantine(settings.relay)
         self.store = StoreShare(own_id, scheduling)
-        self.placement = Placement(scheduling.placement, chance)
+        self.placement = Placement(scheduling.placement, rng)
         self.ownership = Ownership(self.members)
         self.forwarder = Forwarder(self.members, self.peers)
         self.engines = OwnedEngines(
@@ -129,9 +129,9 @@
             self.peers,
             self.store,
             self.quarantine,
-            chance,
+            rng,
         )
-        self.entries = EntryAnswers(
+        self.entry_answers = EntryAnswers(
             settings,
             self.members,
             self.placement,
@@ -155,7 +155,7 @@
             self.forwarder,
             self.breakers,
             self.budget,
-            chance,
+            rng,
         )
         self.router.inventory = self.inventory
         self.services = ServiceRelay(
@@ -163,7 +163,7 @@
             self.breakers,
             self.budget,
             settings.relay,
-            chance,
+            rng,
         )
         self.holders = Holders(self.members, self.peers, settings.claims)
         self.executor = CallExecutor(
@@ -189,22 +189,24 @@
             messages.ClaimAsk,
             self._acknowledge,
         )
-        server.on_ask(messages.ClaimTell, self._tell)
+        server.on_ask(messages.ClaimTell, self._record_outcome)
         server.on_ask(
             messages.SealAsk,
             self._seal,
         )
         server.on_ask(messages.ConfigurationAsk, self._answer_configuration)
         server.on_ask(messages.TakeoverAsk, self.engines.answer_takeover)
-        server.on_work(messages.ForwardCompletion, self._forwarded_work)
-        server.on_work(messages.ForwardCall, self._forwarded_call)
-        self.rumours = GossipHandlers(self)
-        self.gossip.rumour_listener = self.rumours.apply_rumour
-        self.gossip.standing_rumours = self.rumours.standing_rumours
+        server.on_work(
+            messages.ForwardCompletion, self._serve_forwarded_completion
+        )
+        server.on_work(messages.ForwardCall, self._execute_forwarded_call)
+        self.gossip_handlers = GossipHandlers(self)
+        self.gossip.rumour_listener = self.gossip_handlers.apply_rumour
+        self.gossip.standing_rumours = self.gossip_handlers.standing_rumours
         self.gossip.late_wakeup_listeners.append(self.engines.invalidate_leases)
-        self.keeper.accepted_listeners.append(self._accepted)
+        self.keeper.accepted_listeners.append(self._apply_configuration)
 
-    # -- Life
+    # -- Lifecycle
 
     async def run(self) -> None:
         """Serve until :meth:`stop`, or until cancelled."""
@@ -222,7 +224,7 @@
             await self._close()
 
     async def begin_leaving(self) -> None:
-        """Leave the fleet: no new work, finish what is in progress, stop."""
+        """Announce that this VM leaves; drain and stop in the background."""
         if self.is_leaving:
             return
         logger.info('this VM is leaving')
@@ -232,7 +234,7 @@
         await self.background.spawn(self._leave)
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop without draining."""
         await self.stopped.set()
 
     async def _start(self) -> None:
@@ -243,7 +245,7 @@
         await spawn(self.engines.follow_forever)
         await spawn(self.keeper.watch_forever, MANIFEST_KEY)
         await spawn(self.keeper.watch_forever, VM_LIST_KEY)
-        await spawn(self.rumours.tell_forever)
+        await spawn(self.gossip_handlers.publish_forever)
         logger.info('VM {} is ready', self.settings.vm.id)
 
     async def _leave(self) -> None:
@@ -251,10 +253,10 @@
         self.refuses_work = True
         self.executor.refuses_new_calls = True
         await self.engines.close()
-        patience = clock.now() + self.settings.fleet.drain_seconds
-        while self._is_busy() and clock.now() < patience:
-            await curio.sleep(_TICK_SECONDS)
-        logger.info('nothing is in progress any more')
+        drain_until = clock.now() + self.settings.fleet.drain_seconds
+        while self._is_busy() and clock.now() < drain_until:
+            await curio.sleep(_DRAIN_POLL_SECONDS)
+        logger.info('draining has ended')
         await self.stop()
 
     def _is_busy(self) -> bool:
@@ -273,20 +275,20 @@
     # -- Serving
 
     def inventory(self) -> Inventory:
-        """Give the inventory in force.
+        """Return the current inventory.
 
-        :raises ServingError: when there is none yet
+        :raises ServingError: before the first configuration is accepted
         """
         if not self.keeper.is_ready:
             raise ServingError(
                 ErrorKind.NOT_READY,
-                'this VM has no configuration yet; try another one',
+                'this VM has no configuration yet; try another VM',
                 retry_after=1,
             )
         return self.keeper.inventory
 
     async def serve(self, work: CompletionWork, sink: Sink) -> None:
-        """Serve a completion of a caller."""
+        """Serve a completion request of a caller."""
         started_at = clock.now()
         self.in_progress += 1
         try:
@@ -301,7 +303,7 @@
         service: Service,
         call: ServiceCall,
     ) -> Response:
-        """Make a call of a plain service for a caller or another VM."""
+        """Call a plain service for a caller or another VM."""
         self.in_progress += 1
         try:
             if call.idempotent:
@@ -313,11 +315,11 @@
         finally:
             self.in_progress -= 1
 
-    def next_request_id(self) -> str:
-        """Give a name for a request that no other request has."""
+    def new_request_id(self) -> str:
+        """Return a new random request ID."""
         return secrets.token_hex(8)
 
-    async def _forwarded_work(
+    async def _serve_forwarded_completion(
         self,
         message: messages.ForwardCompletion,
         sink: Sink,
@@ -330,7 +332,7 @@
         finally:
             self.in_progress -= 1
 
-    async def _forwarded_call(
+    async def _execute_forwarded_call(
         self,
         message: messages.ForwardCall,
         sink: Sink,
@@ -339,8 +341,8 @@
         if service is None:
             raise ServingError(
                 ErrorKind.NOT_READY,
-                f'service {message.service!r} is not known here yet; send '
-                'the call again with the same key',
+                f'this VM does not know service {message.service!r} yet; '
+                'retry the call with the same key',
                 ran=Ran.UNKNOWN,
                 retry_after=1,
             )
@@ -363,7 +365,7 @@
             self.in_progress -= 1
         await sink.send(response)
 
-    # -- What other VMs ask
+    # -- Requests of other VMs
 
     async def _acknowledge(
         self,
@@ -372,12 +374,12 @@
     ) -> messages.ClaimReply:
         return self.executor.table.acknowledge(ask, self.incarnation)
 
-    async def _tell(
+    async def _record_outcome(
         self,
-        told: messages.ClaimTell,
+        outcome: messages.ClaimTell,
         _remote: messages.Hello,
     ) -> messages.ClaimReply:
-        return await self.executor.table.record_outcome(told)
+        return await self.executor.table.record_outcome(outcome)
 
     async def _seal(
         self,
@@ -393,9 +395,9 @@
     ) -> messages.ConfigurationReply:
         return self.keeper.answer(ask)
 
-    # -- News
+    # -- Configuration changes
 
-    async def _accepted(self) -> None:
+    async def _apply_configuration(self) -> None:
         keeper = self.keeper
         if keeper.vm_list is not None:
             self.members.replace_list(keeper.vm_list)
@@ -404,19 +406,19 @@
         self.engines.inventory = keeper.inventory
         await self.gossip.push(keeper.own_rumour())
 
-    # -- What others may see
+    # -- Status
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether this VM has a configuration."""
+        """Return whether this VM has a configuration."""
         return self.keeper.is_ready
 
     def state_dump(self) -> dict[str, Any]:
-        """Give the state of this process as JSON values."""
+        """Return the state of this process as JSON values."""
         return state_of(self)
 
     def all_counts(self) -> dict[str, Any]:
-        """Give the counts of every part by its name."""
+        """Return the counts of every component by its name."""
         return {
             'http': self.http.counts,
             'gossip': self.gossip.counts,
@@ -430,7 +432,7 @@
         }
 
     def gauges(self) -> dict[str, float]:
-        """Give the gauges by their name."""
+        """Return the gauges by name."""
         members = self.members
         return {
             'ready': self.is_ready,
--- a/flamingovalve/errors.py
+++ b/flamingovalve/errors.py
@@ -1,4 +1,4 @@
-"""Every error that flamingovalve reports, as typed kinds."""
+"""The errors that flamingovalve reports, as typed kinds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Ran(Enum):
-    """What is known about the run of a request that failed."""
+    """Whether a failed request has run, as far as is known."""
 
     NOT = 'no'
     DONE = 'yes'
@@ -16,7 +16,7 @@
 
 
 class ErrorKind(Enum):
-    """Kinds of failure, each with the HTTP status that reports it."""
+    """Kinds of failure, each with its label and HTTP status."""
 
     MALFORMED_REQUEST = ('malformed_request', 400)
     REQUEST_TOO_LARGE = ('request_too_large', 413)
@@ -72,8 +72,8 @@
 class ServingError(Exception):
     """A failure with its kind, its remedy and whether the request ran.
 
-    Travels as the error side of a ``Result`` where a decision is made, and
-    is raised where a task unwinds.
+    Functions that make a decision return it as the error side of a
+    ``Result``; it is raised where a task unwinds.
     """
 
     def __init__(
@@ -86,14 +86,14 @@
     ) -> None:
         """Describe the failure.
 
-        :param kind: what sort of failure it is
-        :param message: what happened and what the reader can do about it
+        :param kind: kind of the failure
+        :param message: what happened and how to remedy it
         :param ran: whether an upstream may have run the request
-        :param retry_after: seconds after which a new try makes sense
-        :raises ValueError: when that is no finite time to come
+        :param retry_after: seconds after which a retry makes sense
+        :raises ValueError: when ``retry_after`` is negative or not finite
         """
         if retry_after is not None and not 0 <= retry_after < math.inf:
-            raise ValueError(f'cannot come back in {retry_after} s: {message}')
+            raise ValueError(f'cannot retry after {retry_after} s: {message}')
         super().__init__(message)
         self.kind = kind
         self.message = message
@@ -101,7 +101,7 @@
         self.retry_after = retry_after
 
     def to_json(self) -> dict[str, object]:
-        """Give the JSON object that callers receive."""
+        """Return the JSON object that callers receive."""
         return {
             'error': {
                 'type': self.kind.label,
@@ -112,34 +112,39 @@
 
 
 class Fault:
-    """One mistake in settings or inventory: where, what, and the remedy."""
+    """One fault in the settings or the inventory.
+
+    :ivar place: where the fault was found
+    :ivar problem: what is wrong
+    :ivar remedy: how to correct it
+    """
 
     def __init__(self, place: str, problem: str, remedy: str) -> None:
-        """Describe the mistake found at ``place``."""
+        """Describe the fault found at ``place``."""
         self.place = place
         self.problem = problem
         self.remedy = remedy
 
     def __str__(self) -> str:
-        """Give the line that operators read."""
+        """Return the message for operators."""
         return f'{self.place}: {self.problem}; {self.remedy}'
 
 
 class ConnectionLost(Exception):
-    """A connection ended or broke before the exchange on it was complete."""
+    """A connection closed or failed before its exchange was complete."""
 
 
 class WrongPeer(Exception):
-    """A peer failed authentication or answered out of protocol."""
+    """A peer failed authentication or violated the protocol."""
 
 
 class Undecodable(Exception):
-    """Published bytes that mean nothing to us; the publisher mends them."""
+    """Published bytes that cannot be decoded; their publisher must fix them."""
 
 
 class StoreUnavailable(Exception):
-    """The platform's store gave no usable answer; try again later."""
+    """The platform's store gave no usable answer; retry later."""
 
 
 class HistoryGone(Exception):
-    """The store has dropped the history asked for; read everything anew."""
+    """The store no longer has the requested history; read everything again."""
--- a/flamingovalve/metrics.py
+++ b/flamingovalve/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics, read from the counts that the modules keep."""
+"""Prometheus metrics, read from the counts of the components."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 PREFIX: Final = 'flamingovalve'
 
-# Meaning of each count; the metrics reference is generated from this table.
+# Help text of each count; the metrics reference is generated from it.
 MEANINGS: Final[dict[str, str]] = {
     'http_connections': 'Connections accepted from callers.',
     'http_requests': 'Requests read from callers.',
     'http_refused_connections': 'Connections refused over the limit.',
-    'http_malformed': 'Requests refused before they were understood.',
-    'http_slow_callers': 'Callers that fell silent within a request.',
+    'http_malformed': 'Requests refused because they could not be read.',
+    'http_slow_callers': 'Callers that stopped sending within a request.',
     'http_stalled_callers': 'Callers that stopped reading their answer.',
-    'http_callers_gone': 'Connections that callers ended early.',
+    'http_callers_gone': 'Connections that callers closed early.',
     'gossip_sent': 'Membership datagrams sent.',
     'gossip_sent_bytes': 'Bytes of membership datagrams sent.',
     'gossip_received': 'Membership datagrams received.',
@@ -38,8 +38,8 @@
     'gossip_replayed': 'Datagrams dropped as repeated or outdated.',
     'gossip_suspicions': 'Suspicions raised by this VM.',
     'gossip_refuted': 'Suspicions of this VM that it refuted.',
-    'gossip_late_wakeups': 'Times this process was found not to have run.',
-    'peer_exchanges': 'Messages asked of other VMs.',
+    'gossip_late_wakeups': 'Times this process was found to have been paused.',
+    'peer_exchanges': 'Messages sent to other VMs that need a reply.',
     'peer_opened': 'Connections opened to other VMs.',
     'peer_failures': 'Connections to other VMs that failed.',
     'peer_server_connections': 'Connections accepted from other VMs.',
@@ -47,10 +47,10 @@
     'peer_server_rejected': 'Peer connections rejected as not authentic.',
     'router_requests': 'Completions routed for callers.',
     'router_local': 'Completions run on an engine of this VM.',
-    'router_forwarded': 'Completions passed to the owner of their engine.',
-    'router_retries': 'Completions tried again.',
-    'router_spills': 'Completions sent to their next engine for load.',
-    'router_resumed': 'Streams taken up again after their VM was lost.',
+    'router_forwarded': 'Completions forwarded to the owner of their engine.',
+    'router_retries': 'Completions retried.',
+    'router_spills': 'Completions sent to their next engine because of load.',
+    'router_resumed': 'Streams resumed after their VM was lost.',
     'router_failed': 'Completions that failed for good.',
     'forward_completions': 'Completions sent to other VMs.',
     'forward_calls': 'Service calls sent to other VMs.',
@@ -62,15 +62,15 @@
     'configuration_pages_from_peers': 'Pages read from other VMs.',
     'configuration_failed_fetches': 'Reads of the configuration that failed.',
     'claims_run': 'Non-idempotent calls run by this VM.',
-    'claims_replayed': 'Recorded answers given again.',
+    'claims_replayed': 'Recorded answers replayed.',
     'claims_sealed': 'Calls answered as sealed: not run, never to run.',
     'claims_unknown': 'Calls whose outcome is not known.',
-    'claims_blocked': 'Calls refused because a holder was silent.',
-    'claims_joined': 'Resends that met the record of an earlier send.',
+    'claims_blocked': 'Calls refused because a holder did not answer.',
+    'claims_joined': 'Resends that matched the record of an earlier send.',
     'quarantine_crashes': 'Engine crashes seen.',
     'quarantine_suspects': 'Requests suspected after a crash.',
     'quarantine_convicted': 'Requests that crashed an engine alone.',
-    'quarantine_cleared': 'Suspects that ran apart without harm.',
+    'quarantine_cleared': 'Suspects that ran in isolation without a crash.',
     'quarantine_refused': 'Requests refused by the quarantine.',
 }
 
@@ -123,28 +123,27 @@
 class DaemonMetrics(Collector):
     """Turns the counts of a daemon into metrics when they are scraped.
 
-    Nothing is done for a metric while a request is served but to raise a
-    plain count.
+    Serving a request only increments plain counts.
     """
 
     def __init__(self, daemon: Daemon) -> None:
-        """Describe ``daemon``."""
+        """Register the metrics of ``daemon``."""
         self._daemon = daemon
         self._registry = CollectorRegistry()
         self._registry.register(self)
         self.answer_seconds = Histogram(
             f'{PREFIX}_answer_seconds',
-            'Time from a completion to the end of its answer.',
+            'Time from a completion request to the end of its answer.',
             registry=self._registry,
             buckets=_SECONDS_BUCKETS,
         )
 
     def exposition(self) -> bytes:
-        """Give all metrics in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Give the metrics of this moment."""
+        """Return the current metrics."""
         for group, counts in self._daemon.all_counts().items():
             yield from _counters(group, counts)
         for name, meaning in GAUGES.items():
@@ -179,7 +178,7 @@
 
 
 def reference() -> str:
-    """Give the metrics reference page."""
+    """Return the metrics reference page."""
     rows = ['# Metrics reference', '', 'Generated by `make generate`.', '']
     rows.extend(('| metric | type | meaning |', '| --- | --- | --- |'))
     tables = (
@@ -195,6 +194,6 @@
         )
     rows.append(
         f'| `{PREFIX}_answer_seconds` | histogram | '
-        'Time from a completion to the end of its answer. |',
+        'Time from a completion request to the end of its answer. |',
     )
     return '\n'.join([*rows, ''])
--- a/flamingovalve/state.py
+++ b/flamingovalve/state.py
@@ -1,4 +1,4 @@
-"""The dump of a daemon's state, for operators and tests."""
+"""Dumps the state of a daemon for operators and tests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def state_of(daemon: Daemon) -> dict[str, Any]:
-    """Give everything worth knowing about ``daemon`` as JSON values."""
+    """Return the state of ``daemon`` as JSON values."""
     settings = daemon.settings
     return {
         'vm': settings.vm.id,
