--- a/flamingovalve/platform/__init__.py
+++ b/flamingovalve/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, and nothing else."""
+"""Names, formats and calls of the users' platform, and only these."""
--- a/flamingovalve/platform/adapter.py
+++ b/flamingovalve/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The platform as the gateway sees it."""
+"""The gateway's interface to the users' platform."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     """Names, formats and calls of the users' platform."""
 
     def __init__(self, store_address: str) -> None:
-        """Read from the store at ``store_address``."""
+        """Use the store at ``store_address``."""
         self.wire = PlatformWire()
         self._store_address = store_address
 
     def decode(self, document: Document) -> Any:
-        """Decode one published document by its key."""
+        """Decode one published document according to its key."""
         key, content = document.key, document.content
         if key == _CONFIGURATION_KEY:
             return decode.configuration(content)
@@ -43,7 +43,7 @@
         return None
 
     def store(self, pool: ConnectionPool) -> PlatformStore:
-        """Open the platform's store."""
+        """Return a client of the platform's store."""
         return PlatformStore(pool, self._store_address)
 
     def engine(
@@ -51,33 +51,33 @@
         pool: ConnectionPool,
         upstream: Upstream,
     ) -> PlatformEngine:
-        """Open the way to an engine."""
+        """Return a client of an engine."""
         return PlatformEngine(pool, upstream)
 
     def host_of(self, request: Request) -> str:
-        """Give the host that a request is for."""
+        """Return the host that a request addresses."""
         return ingress.host_of(request)
 
     def request_id(self, request: Request) -> str:
-        """Give the caller's name for a request."""
+        """Return the ID that the caller gave a request."""
         return ingress.request_id(request)
 
     def key_of(self, request: Request) -> bytes:
-        """Give the API key of a request, empty if absent."""
+        """Return the API key of a request, empty if absent."""
         return ingress.key_of(request)
 
     def inbound(self, request: Request, route: Route) -> InboundRequest:
-        """Decode a request that takes ``route``."""
+        """Decode a request that matches ``route``."""
         return ingress.inbound(request, route)
 
     def asked_domain(self, request: Request) -> DomainId | None:
-        """Give a caller's failure domain where it asks for addresses."""
+        """Return the caller's failure domain if it asks for addresses."""
         if request.path != _RESOLVE_PATH:
             return None
         return DomainId(request.query.get('Zone', ''))
 
     def error_response(self, error: ServingError) -> Response:
-        """Build the answer that reports an error to a caller."""
+        """Build the response that reports an error to a caller."""
         return ingress.error_response(error)
 
     def addresses_response(
@@ -85,5 +85,5 @@
         addresses: list[str],
         seconds: float,
     ) -> Response:
-        """Build the answer to which address to use."""
+        """Build the response that lists the addresses to use."""
         return ingress.addresses_response(addresses, seconds)
--- a/flamingovalve/platform/decode.py
+++ b/flamingovalve/platform/decode.py
@@ -1,4 +1,4 @@
-"""Decodes what the platform publishes into the product's types."""
+"""Decodes the platform's documents into the types of the gateway."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     WorkspaceId,
 )
 
-# What taking apart JSON of an unexpected shape raises.
-WRONG_SHAPE = (
+# Raised by access to decoded JSON that has an unexpected shape.
+SHAPE_ERRORS = (
     KeyError,
     TypeError,
     ValueError,
@@ -28,14 +28,13 @@
 
 _MS_PER_SECOND = 1000.0
 
-_REPEAT = {
+_REPEAT_POLICIES = {
     ('idempotent', False): model.RepeatPolicy.ANY,
     ('non_idempotent', False): model.RepeatPolicy.ONCE,
     ('streaming', False): model.RepeatPolicy.ONCE,
     ('streaming', True): model.RepeatPolicy.RESUMABLE,
 }
 
-
 _QUOTA_UNITS = {
     '': model.QuotaUnit.REQUESTS,
     'request': model.QuotaUnit.REQUESTS,
@@ -47,7 +46,7 @@
 def json_object(content: bytes) -> dict[str, Any]:
     """Decode one JSON object.
 
-    :raises Undecodable: when ``content`` is something else
+    :raises Undecodable: when ``content`` is not one JSON object
     """
     try:
         parsed = json.loads(content)
@@ -66,23 +65,23 @@
     raw = json_object(content)
     try:
         return _configuration(raw)
-    except WRONG_SHAPE as bad:
-        raise Undecodable(f'configuration: {bad!r}') from bad
+    except SHAPE_ERRORS as bad:
+        raise Undecodable(f'cannot decode the configuration: {bad!r}') from bad
 
 
 def upstream(key: str, content: bytes) -> model.Upstream:
-    """Decode what an upstream says of itself.
+    """Decode the document that an upstream publishes about itself.
 
-    Other writers may leave entries of their own beside these; one that is
-    not wholly understood names no upstream that could be used.
+    Other writers may publish documents under the same prefix, so one that
+    cannot be decoded completely does not describe a usable upstream.
 
     :raises Undecodable: when a field is missing or of another type
     """
     raw = json_object(content)
     try:
         return _upstream(key.rpartition('/')[2], raw)
-    except WRONG_SHAPE as bad:
-        raise Undecodable(f'upstream {key}: {bad!r}') from bad
+    except SHAPE_ERRORS as bad:
+        raise Undecodable(f'cannot decode upstream {key}: {bad!r}') from bad
 
 
 def adapter_version(content: bytes) -> model.AdapterVersion:
@@ -93,12 +92,12 @@
     raw = json_object(content)
     try:
         return model.AdapterVersion(
-            ModelId(_text(raw['Model'])),
-            AdapterId(_text(raw['Adapter'])),
-            _whole(raw['Version']),
+            ModelId(_string(raw['Model'])),
+            AdapterId(_string(raw['Adapter'])),
+            _integer(raw['Version']),
         )
-    except WRONG_SHAPE as bad:
-        raise Undecodable(f'adapter version: {bad!r}') from bad
+    except SHAPE_ERRORS as bad:
+        raise Undecodable(f'cannot decode an adapter version: {bad!r}') from bad
 
 
 def _configuration(raw: dict[str, Any]) -> model.Configuration:
@@ -108,9 +107,9 @@
         by_host.setdefault(route.host, []).append(route)
     services = [_service(entry) for entry in raw['Services']]
     return model.Configuration(
-        _whole(raw['Version']),
+        _integer(raw['Version']),
         {
-            host: tuple(sorted(routes, key=_longest_first))
+            host: tuple(sorted(routes, key=_prefix_order))
             for host, routes in by_host.items()
         },
         {service.name: service for service in services},
@@ -120,33 +119,33 @@
     )
 
 
-def _longest_first(route: model.Route) -> int:
+def _prefix_order(route: model.Route) -> int:
     return -len(route.prefix)
 
 
 def _route(raw: dict[str, Any]) -> model.Route:
-    # A route names one service, or divides its requests among several.
+    # A route names one service or splits its requests among several.
     shares = raw.get('TrafficSplit') or [
         {'Service': raw['Service'], 'Weight': 1},
     ]
     kind = raw['Kind']
     resumable = bool(raw.get('Resumable')) and kind == 'streaming'
     return model.Route(
-        name=_text(raw['Name']),
-        host=_text(raw['Host']).lower(),
-        prefix=_text(raw['PathPrefix']),
-        repeat=_REPEAT[(kind, resumable)],
+        name=_string(raw['Name']),
+        host=_string(raw['Host']).lower(),
+        prefix=_string(raw['PathPrefix']),
+        repeat=_REPEAT_POLICIES[(kind, resumable)],
         timeout=_seconds(raw['TimeoutMs']),
         target_latency=_seconds(raw['TargetLatencyMs']),
-        priority=_whole(raw.get('Priority', 0)),
+        priority=_integer(raw.get('Priority', 0)),
         services=tuple(
             model.WeightedService(
-                ServiceId(_text(share['Service'])),
+                ServiceId(_string(share['Service'])),
                 float(share['Weight']),
             )
             for share in shares
         ),
-        max_upstreams=max(1, _whole(raw.get('MaxAttempts', 1))),
+        max_upstreams=max(1, _integer(raw.get('MaxAttempts', 1))),
         streams=kind == 'streaming',
         max_event_gap=_seconds(raw.get('GapTargetMs') or 0),
         is_public=raw.get('Public') is True,
@@ -156,7 +155,7 @@
 def _service(raw: dict[str, Any]) -> model.UpstreamService:
     engine = raw.get('Engine')
     return model.UpstreamService(
-        ServiceId(_text(raw['Name'])),
+        ServiceId(_string(raw['Name'])),
         _engine(engine) if engine else None,
     )
 
@@ -164,8 +163,8 @@
 def _engine(raw: dict[str, Any]) -> model.EngineTraits:
     models = [_model(entry) for entry in raw['Models']]
     return model.EngineTraits(
-        batch=_whole(raw['Slots']),
-        adapter_slots=_whole(raw.get('AdapterSlots', 0)),
+        batch=_integer(raw['Slots']),
+        adapter_slots=_integer(raw.get('AdapterSlots', 0)),
         weight_mb=float(raw['WeightsMb']),
         models={entry.name: entry for entry in models},
     )
@@ -173,19 +172,19 @@
 
 def _model(raw: dict[str, Any]) -> model.ModelTraits:
     return model.ModelTraits(
-        ModelId(_text(raw['Name'])),
+        ModelId(_string(raw['Name'])),
         float(raw['WeightsMb']),
         float(raw.get('AdapterSizeMb', 0)),
-        _whole(raw.get('Adapters', 0)),
+        _integer(raw.get('Adapters', 0)),
     )
 
 
 def _limits(raw: dict[str, Any]) -> model.CallerLimits:
-    usual = model.CallerLimits()
+    defaults = model.CallerLimits()
     return model.CallerLimits(
-        _whole(raw.get('MaxHeaderBytes', usual.header_bytes)),
-        _whole(raw.get('MaxBodyBytes', usual.body_bytes)),
-        _seconds(raw.get('IdleTimeoutMs', usual.idle_seconds * 1000)),
+        _integer(raw.get('MaxHeaderBytes', defaults.header_bytes)),
+        _integer(raw.get('MaxBodyBytes', defaults.body_bytes)),
+        _seconds(raw.get('IdleTimeoutMs', defaults.idle_seconds * 1000)),
     )
 
 
@@ -193,7 +192,7 @@
     if raw is None:
         return None
     return {
-        model.key_digest(_text(key).encode()): _workspace(entry)
+        model.key_digest(_string(key).encode()): _workspace(entry)
         for entry in raw
         for key in entry['ApiKeys']
     }
@@ -209,8 +208,8 @@
 def _workspace(raw: dict[str, Any]) -> model.Workspace:
     priority = raw.get('Priority')
     return model.Workspace(
-        WorkspaceId(_text(raw['Name'])),
-        None if priority is None else _whole(priority),
+        WorkspaceId(_string(raw['Name'])),
+        None if priority is None else _integer(priority),
         _quota(raw),
     )
 
@@ -223,43 +222,43 @@
         rate,
         _non_negative(raw.get('Burst', 0)),
         _QUOTA_UNITS[raw.get('Unit', '')],
-        _whole(raw.get('PlainTokens', 0)),
+        _integer(raw.get('PlainTokens', 0)),
     )
 
 
 def _upstream(name: str, raw: dict[str, Any]) -> model.Upstream:
     return model.Upstream(
         id=UpstreamId(name),
-        service=ServiceId(_text(raw['Service'])),
-        address=_text(raw['Addr']),
-        domain=DomainId(_text(raw['Zone'])),
+        service=ServiceId(_string(raw['Service'])),
+        address=_string(raw['Addr']),
+        domain=DomainId(_string(raw['Zone'])),
         state=model.UpstreamState(raw['State']),
-        slots=_whole(raw['Slots']),
+        slots=_integer(raw['Slots']),
     )
 
 
-def _text(raw: Any) -> str:
+def _string(raw: Any) -> str:
     if not isinstance(raw, str):
-        raise TypeError(f'{raw!r} is no text')
+        raise TypeError(f'{raw!r} is not a string')
     return raw
 
 
-def _whole(raw: Any) -> int:
+def _integer(raw: Any) -> int:
     if isinstance(raw, bool) or not isinstance(raw, int):
-        raise TypeError(f'{raw!r} is no whole number')
+        raise TypeError(f'{raw!r} is not an integer')
     return raw
 
 
 def _non_negative(raw: Any) -> float:
     if isinstance(raw, bool) or not isinstance(raw, int | float):
-        raise TypeError(f'{raw!r} is no number')
+        raise TypeError(f'{raw!r} is not a number')
     if not 0 <= raw < math.inf:
         raise ValueError(f'{raw!r} is negative or not finite')
     return float(raw)
 
 
 def _seconds(raw: Any) -> float:
-    """Turn the platform's milliseconds into the product's seconds."""
+    """Convert the platform's milliseconds to seconds."""
     if isinstance(raw, bool) or not isinstance(raw, int | float):
-        raise TypeError(f'{raw!r} is no number of milliseconds')
+        raise TypeError(f'{raw!r} is not a number of milliseconds')
     return raw / _MS_PER_SECOND
--- a/flamingovalve/platform/ingress.py
+++ b/flamingovalve/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Decodes callers' requests and encodes our own answers to them."""
+"""Decodes callers' requests and encodes the responses of this system."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 _KEY: Final = 'api-key'
 # Width of token counts in messages between VMs.
 _COUNT_BITS: Final = 32
-_MOST_TOKENS: Final = 2**_COUNT_BITS - 1
+_MAX_TOKENS: Final = 2**_COUNT_BITS - 1
 _MS_PER_SECOND: Final = 1000.0
-# Bounds the part of a header that an error message quotes.
+# An error message quotes at most this much of a header.
 _QUOTED_CHARACTERS: Final = 80
 
-# A caller could reserve memory, jump the queue, reach another request's
-# memory or impersonate another workspace by these; they are set by this system
-# only. API keys are not forwarded to upstreams.
-_OWN_HEADERS: Final = frozenset(
+# Only this system sets these headers. With them a caller could reserve memory,
+# bypass the queue, access another request's memory or impersonate another
+# workspace. API keys are not forwarded to upstreams.
+_INTERNAL_HEADERS: Final = frozenset(
     (
         _KEY,
         'expect-instance',
@@ -50,46 +50,46 @@
 
 
 def host_of(request: Request) -> str:
-    """Give the host that a request is for, without its port."""
+    """Return the host that a request addresses, without its port."""
     return request.headers.get('host', '').partition(':')[0].lower()
 
 
 def request_id(request: Request) -> str:
-    """Give the caller's name for a request."""
+    """Return the ID that the caller gave a request."""
     return request.headers.get(_ID, '')
 
 
 def key_of(request: Request) -> bytes:
-    """Give the API key of a request, empty if absent.
+    """Return the API key of a request, empty if absent.
 
     :raises ServingError: when the header is repeated, as another component
-        could read a different one of the keys
+        could use a different one of the keys
     """
     keys = [text for name, text in request.header_lines if name.lower() == _KEY]
     if len(keys) > 1:
         raise ServingError(
             ErrorKind.MALFORMED_REQUEST,
-            f'header {_KEY} comes {len(keys)} times; send one',
+            f'header {_KEY} occurs {len(keys)} times; send it once',
         )
     return keys[0].encode('latin-1') if keys else b''
 
 
 def inbound(request: Request, route: Route) -> InboundRequest:
-    """Decode a request that takes ``route``.
+    """Decode a request that matches ``route``.
 
-    :raises ServingError: when a header that is needed cannot be read
+    :raises ServingError: when a required header cannot be parsed
     """
-    budget = _budget(request, route)
-    moment = clock.now()
+    budget = _time_budget(request, route)
+    arrived_at = clock.now()
     return InboundRequest(
         id=RequestId(request_id(request)),
         method=request.method,
         target=request.target,
-        headers=_passed_on(request.header_lines),
+        headers=_forwarded_headers(request.header_lines),
         body=request.body,
         route=route,
-        received_at=moment,
-        deadline=moment + min(budget, route.timeout),
+        received_at=arrived_at,
+        deadline=arrived_at + min(budget, route.timeout),
         patience=budget,
         priority=route.priority,
         tokens=_total_tokens(request),
@@ -98,7 +98,7 @@
 
 
 def error_response(error: ServingError) -> Response:
-    """Build the answer that reports ``error`` to a caller."""
+    """Build the response that reports ``error`` to a caller."""
     headers = [('content-type', JSON_TYPE)]
     if error.retry_after is not None:
         headers.append(('retry-after', f'{max(error.retry_after, 0):.2f}'))
@@ -107,19 +107,19 @@
 
 
 def addresses_response(addresses: list[str], seconds: float) -> Response:
-    """Build the answer to which address to use."""
+    """Build the response that lists the addresses to use."""
     return Response.from_json({'Addrs': addresses, 'TtlS': int(seconds)})
 
 
 def _status(error: ServingError) -> int:
-    # 503 promises that the request has not run; 502 promises nothing.
-    promises = error.kind.status == ErrorKind.OVERLOADED.status
-    if promises and error.ran is not Ran.NOT:
+    # 503 guarantees that the request has not run; 502 guarantees nothing.
+    guarantees_not_run = error.kind.status == ErrorKind.OVERLOADED.status
+    if guarantees_not_run and error.ran is not Ran.NOT:
         return ErrorKind.OUTCOME_UNKNOWN.status
     return error.kind.status
 
 
-def _budget(request: Request, route: Route) -> float:
+def _time_budget(request: Request, route: Route) -> float:
     text = request.headers.get(_BUDGET)
     if text is None:
         return route.timeout
@@ -129,27 +129,27 @@
         raise _malformed(_BUDGET, text) from bad
 
 
-def _passed_on(lines: HeaderList) -> HeaderList:
+def _forwarded_headers(lines: HeaderList) -> HeaderList:
     return [
         (name, text)
         for name, text in end_to_end(lines)
-        if name.lower() not in _OWN_HEADERS
+        if name.lower() not in _INTERNAL_HEADERS
     ]
 
 
 def _completion(request: Request) -> Completion | None:
     headers = request.headers
-    named = headers.get(_MODEL)
-    if named is None:
+    requested_model = headers.get(_MODEL)
+    if requested_model is None:
         return None
-    model, _slash, adapter = named.partition('/')
+    model, _slash, adapter = requested_model.partition('/')
     prompt, output = _token_counts(headers.get(_TOKENS, '0,0'))
     return Completion(
         ModelId(model),
         AdapterId(adapter),
         prompt,
         output,
-        _parts(headers.get(_PREFIX, '')),
+        _prompt_parts(headers.get(_PREFIX, '')),
     )
 
 
@@ -158,7 +158,7 @@
         prompt, output = (int(part) for part in text.split(','))
     except ValueError as bad:
         raise _malformed(_TOKENS, text) from bad
-    if not all(0 <= count <= _MOST_TOKENS for count in (prompt, output)):
+    if not all(0 <= count <= _MAX_TOKENS for count in (prompt, output)):
         raise _malformed(_TOKENS, text)
     return prompt, output
 
@@ -168,7 +168,7 @@
     return None if text is None else sum(_token_counts(text))
 
 
-def _parts(text: str) -> list[PromptPart]:
+def _prompt_parts(text: str) -> list[PromptPart]:
     try:
         pairs = [entry.split(':') for entry in text.split(',') if entry]
         return [PromptPart(name.strip(), int(size)) for name, size in pairs]
--- a/flamingovalve/platform/store.py
+++ b/flamingovalve/platform/store.py
@@ -1,4 +1,4 @@
-"""Reads and watches the platform's store."""
+"""Client that reads and watches the platform's store."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
 _GONE: Final = 410
 _MS_PER_SECOND: Final = 1000
 
-# Allows for a store that is slow.
+# Long enough for a slow store.
 _READ_SECONDS: Final = 0.8
-# Beyond the watch itself.
+# Added to the duration of a watch.
 _WATCH_MARGIN_SECONDS: Final = 0.5
-# A claim waits for this.
+# The claim of a group waits for this read.
 _REVISION_SECONDS: Final = 0.4
-# Names no item, so that the answer holds the revision and nothing else.
+# Matches no key, so that the response holds only the revision.
 _NO_ITEMS: Final = '!'
-# The published bound of one page.
-_MOST_PAGES: Final = 200
+# The bound that the platform publishes for a page.
+_MAX_PAGES: Final = 200
 
 
 @dataclass(slots=True)
 class Reading:
-    """Documents and the revision of the store at which they were read."""
+    """Documents and the store revision at which they were read."""
 
     documents: list[Document]
     revision: int
 
 
 class PlatformStore:
-    """The one client of the store; every call counts against a shared rate."""
+    """The only client of the store; all calls share one rate limit."""
 
     def __init__(self, pool: ConnectionPool, address: str) -> None:
-        """Read from the store at ``address``."""
+        """Use the store at ``address``."""
         self.calls = 0
         self._pool = pool
         self._address = address
@@ -56,40 +56,40 @@
     async def read_all(self, prefix: str) -> Reading:
         """Read every document whose key begins with ``prefix``.
 
-        The pages are no snapshot; what changes meanwhile is met again by a
-        watch from the revision of the first page.
+        The pages are not one snapshot: a watch from the revision of the
+        first page reports what changes while later pages are read.
 
-        :raises StoreUnavailable: when the store does not answer as it should
+        :raises StoreUnavailable: when the store gives no valid answer
         """
-        after, first, documents = '', 0, []
-        for _page in range(_MOST_PAGES):
+        after, first_revision, documents = '', 0, []
+        for _page in range(_MAX_PAGES):
             query = {'PathPrefix': prefix}
             if after:
                 query['after'] = after
             raw = await self._get('/kv-range', query, _READ_SECONDS)
-            documents += _documents(raw.get('items', []))
-            first = first or _revision(raw)
+            documents += _parse_documents(raw.get('items', []))
+            first_revision = first_revision or _parse_revision(raw)
             if not raw.get('MorePages') or not documents:
                 break
             after = documents[-1].key
-        return Reading(documents, first)
+        return Reading(documents, first_revision)
 
     async def revision(self) -> int:
-        """Give the revision of this moment.
+        """Return the current revision of the store.
 
-        :raises StoreUnavailable: when the store does not answer as it should
+        :raises StoreUnavailable: when the store gives no valid answer
         """
         query = {'PathPrefix': _NO_ITEMS}
-        return _revision(
+        return _parse_revision(
             await self._get('/kv-range', query, _REVISION_SECONDS),
         )
 
     async def watch(self, prefix: str, after: int, seconds: float) -> Reading:
-        """Wait for changes behind the revision ``after``.
+        """Wait for changes after the revision ``after``.
 
-        :param seconds: longest wait; the reading is then empty
+        :param seconds: timeout, after which the reading is empty
         :raises HistoryGone: when the store has dropped that history
-        :raises StoreUnavailable: when the store does not answer as it should
+        :raises StoreUnavailable: when the store gives no valid answer
         """
         query = {
             'PathPrefix': prefix,
@@ -101,7 +101,9 @@
             query,
             seconds + _WATCH_MARGIN_SECONDS,
         )
-        return Reading(_documents(raw.get('events', [])), _revision(raw))
+        return Reading(
+            _parse_documents(raw.get('events', [])), _parse_revision(raw)
+        )
 
     async def _get(
         self,
@@ -114,7 +116,7 @@
         try:
             response = await self._pool.exchange(self._address, call, seconds)
         except (OSError, ConnectionLost) as failed:
-            # Other connections went the same way and may be silent too.
+            # Other pooled connections use the same path and may be dead too.
             await self._pool.drop(self._address)
             raise StoreUnavailable(f'{path}: {failed!r}') from failed
         if response.status == _GONE:
@@ -127,21 +129,21 @@
             raise StoreUnavailable(f'{path}: {bad}') from bad
 
 
-def _revision(raw: dict[str, Any]) -> int:
+def _parse_revision(raw: dict[str, Any]) -> int:
     revision = raw.get('StoreRevision')
     if not isinstance(revision, int):
-        raise StoreUnavailable('an answer without the revision of the store')
+        raise StoreUnavailable('the response lacks the revision of the store')
     return revision
 
 
-def _documents(entries: Any) -> list[Document]:
+def _parse_documents(entries: Any) -> list[Document]:
     try:
-        return [_document(entry) for entry in entries]
-    except decode.WRONG_SHAPE as bad:
-        raise StoreUnavailable(f'an unreadable item: {bad!r}') from bad
+        return [_parse_document(entry) for entry in entries]
+    except decode.SHAPE_ERRORS as bad:
+        raise StoreUnavailable(f'cannot decode an item: {bad!r}') from bad
 
 
-def _document(entry: dict[str, Any]) -> Document:
+def _parse_document(entry: dict[str, Any]) -> Document:
     key, revision = str(entry['Key']), int(entry['Revision'])
     if entry.get('Tombstone'):
         return Document(key, revision, b'', True)
--- a/flamingovalve/platform/upstreams.py
+++ b/flamingovalve/platform/upstreams.py
@@ -1,4 +1,4 @@
-"""Encodes calls to upstreams and decodes what they answer."""
+"""Encodes requests to upstreams and decodes their responses."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 logger = get_logger(__name__)
 
-# A report answers without a slot; twice the slowest seen on a busy engine.
+# Twice the slowest report of a busy engine; a report needs no slot.
 _REPORT_SECONDS: Final = 0.6
 _ORDER_SECONDS: Final = 0.6
 _MS_PER_SECOND: Final = 1000
-_MOST_PRIORITY: Final = 9
+_MAX_PRIORITY: Final = 9
 _OK: Final = 200
 _FIRST_SUCCESS: Final = 200
 _LAST_SUCCESS: Final = 299
 _MISDIRECTED: Final = 421
-_RESUME: Final = 'last-event-id'
+_RESUME_HEADER: Final = 'last-event-id'
 
 
 class PlatformWire:
-    """How upstreams of the platform are spoken to."""
+    """The HTTP conventions of the platform's upstreams."""
 
     def call_of(
         self,
@@ -44,7 +44,7 @@
         upstream: Upstream,
         options: SendOptions,
     ) -> UpstreamCall:
-        """Build the call that passes a request on to an upstream."""
+        """Build the call that forwards a request to an upstream."""
         budget = max(1, int(options.seconds * _MS_PER_SECOND))
         headers = [
             *request.headers,
@@ -54,15 +54,15 @@
         if request.workspace:
             headers.append(('Tenant', request.workspace))
         if options.priority is not None:
-            urgency = min(options.priority, _MOST_PRIORITY)
-            headers.append(('Request-Priority', str(urgency)))
+            priority = min(options.priority, _MAX_PRIORITY)
+            headers.append(('Request-Priority', str(priority)))
         if options.version:
             headers.append(('Expect-Version', str(options.version)))
         if options.resume_after:
             headers = [
                 (name, text)
                 for name, text in headers
-                if name.lower() != _RESUME
+                if name.lower() != _RESUME_HEADER
             ]
             headers.append(('Last-Event-Id', options.resume_after))
         host = request.route.host
@@ -75,7 +75,7 @@
         )
 
     def verdict(self, head: ResponseHead, request: InboundRequest) -> Verdict:
-        """Tell what an answer's head says of ``request``."""
+        """Classify the head of an upstream's response to ``request``."""
         headers = head.headers
         if headers.get('attempt-id', request.id) != request.id:
             return Verdict.OTHER_REQUEST
@@ -88,7 +88,7 @@
         return Verdict.FAILURE
 
     def kept_seconds(self, head: ResponseHead) -> float | None:
-        """Give how long the upstream keeps an idle connection, where it says."""
+        """Return the keep-alive timeout of the upstream, if it sends one."""
         text = head.headers.get('keep-alive', '')
         for part in text.split(','):
             name, _equals, seconds = part.strip().partition('=')
@@ -98,15 +98,15 @@
 
 
 class PlatformEngine:
-    """Orders to one engine, and its reports."""
+    """Sends orders to one engine and reads its reports."""
 
     def __init__(self, pool: ConnectionPool, upstream: Upstream) -> None:
-        """Speak to the engine at ``upstream``."""
+        """Use the engine at ``upstream``."""
         self._pool = pool
         self._upstream = upstream
 
     async def report(self) -> EngineReport | None:
-        """Ask what the engine holds; nothing where it does not say."""
+        """Read the report of the engine; ``None`` without a valid one."""
         call = UpstreamCall('GET', '/report', [])
         try:
             response = await self._pool.exchange(
@@ -121,11 +121,13 @@
         try:
             return _report(response.body)
         except Undecodable as bad:
-            logger.warning('report of {}: {}', self._upstream.id, bad)
+            logger.warning(
+                'cannot decode the report of {}: {}', self._upstream.id, bad
+            )
             return None
 
     async def order(self, order: Order) -> OrderOutcome:
-        """Send one order; it may be accepted even if no answer comes."""
+        """Send one order, which may be accepted even without a response."""
         call = UpstreamCall.from_json('POST', '/order', _order_body(order))
         call.headers.append(('Expect-Instance', self._upstream.id))
         try:
@@ -169,8 +171,8 @@
     raw = decode.json_object(content)
     try:
         return _decoded_report(raw)
-    except decode.WRONG_SHAPE as bad:
-        raise Undecodable(f'a report of another shape: {bad!r}') from bad
+    except decode.SHAPE_ERRORS as bad:
+        raise Undecodable(f'unexpected shape: {bad!r}') from bad
 
 
 def _decoded_report(raw: dict[str, Any]) -> EngineReport:
@@ -179,10 +181,11 @@
     for model in raw['Models']:
         models.append(ModelId(model['Name']))
         for entry in model.get('Adapters', []):
-            name, version = _named(entry)
+            name, version = _split_version(entry)
             resident[name] = version
     coming = [
-        _named(entry.partition('/')[2])[0] for entry in raw.get('Coming', [])
+        _split_version(entry.partition('/')[2])[0]
+        for entry in raw.get('Coming', [])
     ]
     return EngineReport(
         sequence=int(raw['Seq']),
@@ -195,12 +198,12 @@
 
 
 def _at_hand(raw: dict[str, list[str]]) -> Iterator[ModelId]:
-    for place in ('InMemory', 'OnDisk'):
-        for name in raw.get(place) or ():
+    for location in ('InMemory', 'OnDisk'):
+        for name in raw.get(location) or ():
             yield ModelId(name)
 
 
-def _named(entry: str) -> tuple[AdapterId, int]:
-    """Split ``NAME@VERSION``; without a version it is the first one."""
+def _split_version(entry: str) -> tuple[AdapterId, int]:
+    """Split ``NAME@VERSION``; the version defaults to 1."""
     name, _at, version = entry.partition('@')
     return AdapterId(name), int(version or 1)
