--- a/flamingovalve/util/__init__.py
+++ b/flamingovalve/util/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers that know nothing of serving."""
+"""Helpers that are independent of serving."""
--- a/flamingovalve/util/authentication.py
+++ b/flamingovalve/util/authentication.py
@@ -14,25 +14,26 @@
 
 
 def authentication_code(key: bytes, content: bytes) -> bytes:
-    """Give the code of ``content`` under ``key``, 16 bytes."""
+    """Return the 16-byte code of ``content`` under ``key``."""
     digest = hashlib.blake2b(content, digest_size=CODE_BYTES, key=key)
     return digest.digest()
 
 
 class Keyring:
-    """The key that we sign with and the keys that we accept.
+    """The key that authenticates messages and the keys that are accepted.
 
-    While a key is rotated, VMs with the old and with the new settings file
-    must understand each other: each accepts both and signs with its current.
+    While a key is rotated, VMs with the old and VMs with the new settings
+    file must accept each other's messages: each accepts both keys and signs
+    with its current one.
     """
 
     def __init__(self, keys: list[bytes]) -> None:
-        """Sign with the first of ``keys`` and accept all."""
+        """Sign with the first of ``keys`` and accept all of them."""
         self._keys = keys
 
     @classmethod
     def from_settings(cls, settings: FleetSettings) -> Keyring:
-        """Build the ring from the two keys of the settings file."""
+        """Build the keyring from the two keys of the settings file."""
         texts = [settings.key_current, settings.key_previous]
         return cls(
             [hashlib.blake2b(text.encode()).digest() for text in texts if text]
@@ -40,22 +41,22 @@
 
     @property
     def current(self) -> bytes:
-        """Give the key that we sign with."""
+        """Key that signs messages."""
         return self._keys[0]
 
     def seal(self, content: bytes) -> bytes:
-        """Give ``content`` with its code before it."""
+        """Return ``content`` with its code prepended."""
         return authentication_code(self.current, content) + content
 
     def open(self, sealed: bytes) -> bytes | None:
-        """Give the content of a sealed message, or nothing if it is forged."""
+        """Return the content of a sealed message, ``None`` if it is forged."""
         code, content = sealed[:CODE_BYTES], sealed[CODE_BYTES:]
         if self.key_for(code, content) is None:
             return None
         return content
 
     def key_for(self, code: bytes, content: bytes) -> bytes | None:
-        """Give the accepted key under which ``code`` holds, if any."""
+        """Return the accepted key for which ``code`` is valid, if any."""
         for key in self._keys:
             if hmac.compare_digest(code, authentication_code(key, content)):
                 return key
@@ -65,9 +66,9 @@
 class ReplayWindow:
     """Accepts each sequence number of one sender once.
 
-    A recorded datagram that is sent again would carry a valid code; old
-    rumours or acknowledgements would then count as new. Numbers far below
-    the highest seen are refused because the window no longer knows them.
+    A replayed datagram carries a valid code, so that old rumours or
+    acknowledgements would otherwise count as new. Numbers too far below the
+    highest one are refused because the window no longer covers them.
     """
 
     __slots__ = ('_highest', '_seen')
@@ -78,7 +79,7 @@
         self._seen = 0
 
     def accept(self, sequence: int) -> bool:
-        """Tell whether ``sequence`` is new, and remember it."""
+        """Return whether ``sequence`` is new, and record it."""
         if sequence > self._highest:
             shift = min(sequence - self._highest, _WINDOW_BITS)
             mask = (1 << _WINDOW_BITS) - 1
--- a/flamingovalve/util/clock.py
+++ b/flamingovalve/util/clock.py
@@ -1,7 +1,7 @@
-"""The clocks that every module reads.
+"""The clocks that all modules read.
 
-The curio kernel reads ``time.monotonic``; so does this module, so that both
-agree. Tests replace the sources by a clock that they pause and advance.
+Like the curio kernel, this module reads ``time.monotonic``, so that both
+agree. Tests replace the sources with a clock that they pause and advance.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class _Sources:
-    """The functions that are read for the time."""
+    """The functions that return the time."""
 
     def __init__(self) -> None:
         """Read the clocks of the operating system."""
@@ -31,17 +31,17 @@
 
 
 def now() -> float:
-    """Give the monotonic time in seconds."""
+    """Return the monotonic time in seconds."""
     return _SOURCES.monotonic()
 
 
 def wall() -> float:
-    """Give the Unix time in seconds, as this VM believes it to be."""
+    """Return the Unix time in seconds according to this VM's clock."""
     return _SOURCES.wall()
 
 
 def boot() -> float:
-    """Give the seconds since the VM booted, including suspensions."""
+    """Return the seconds since the VM booted, including suspensions."""
     return _SOURCES.boot()
 
 
@@ -50,7 +50,7 @@
     wall_time: Callable[[], float],
     boot_time: Callable[[], float] | None = None,
 ) -> None:
-    """Read the clocks from other sources from now on (tests only).
+    """Replace the sources of the clocks (tests only).
 
     :param boot_time: defaults to ``monotonic``
     """
--- a/flamingovalve/util/hashing.py
+++ b/flamingovalve/util/hashing.py
@@ -18,15 +18,15 @@
 
 @lru_cache(maxsize=_CACHE_ENTRIES)
 def weight(key: str, candidate: str) -> int:
-    """Give the weight of ``candidate`` for ``key``, a 64-bit integer."""
+    """Return the weight of ``candidate`` for ``key``, a 64-bit integer."""
     return xxhash.xxh3_64_intdigest(f'{key}\0{candidate}'.encode())
 
 
 def rank(key: str, candidates: Iterable[str]) -> list[str]:
-    """Order ``candidates`` by their weight for ``key``, heaviest first.
+    """Sort ``candidates`` by their weight for ``key``, heaviest first.
 
-    A candidate that leaves changes the place of no other, so only the keys
-    that it led move, and they move to their second.
+    Removing a candidate keeps the order of the others, so that only the keys
+    for which it ranked first move, each to its second candidate.
     """
     return sorted(
         candidates,
@@ -36,10 +36,10 @@
 
 
 def first(key: str, candidates: Iterable[str], count: int) -> list[str]:
-    """Give the first ``count`` of :func:`rank`.
+    """Return the first ``count`` of :func:`rank`.
 
-    Weighs without the cache: for thousands of candidates the entries would
-    push out those of short lists that are asked for often.
+    Does not use the cache: the entries of thousands of candidates would evict
+    those of short lists that are ranked often.
     """
     prefix = f'{key}\0'
     weighed = [
@@ -50,7 +50,7 @@
 
 
 def heaviest(key: str, candidates: Iterable[str]) -> str | None:
-    """Give the first of :func:`rank` without sorting the rest."""
+    """Return the first of :func:`rank` without sorting the rest."""
     return max(
         candidates,
         key=lambda candidate: (weight(key, candidate), candidate),
@@ -59,10 +59,10 @@
 
 
 def weighted(key: str, sizes: Mapping[str, float]) -> list[str]:
-    """Order candidates for ``key``; one of twice the size leads twice as often.
+    """Rank candidates for ``key`` by weighted rendezvous hashing.
 
-    As with :func:`rank`, a candidate that leaves changes the place of no
-    other.
+    A candidate of twice the size ranks first twice as often. As with
+    :func:`rank`, removing a candidate keeps the order of the others.
     """
     return sorted(
         sizes,
@@ -76,12 +76,12 @@
 
 
 def uniform(key: str, candidate: str) -> float:
-    """Give the share of hash values below this one, never quite 0 nor 1."""
+    """Return the hash as a uniform value strictly between 0 and 1."""
     return math.ldexp(weight(key, candidate) + 0.5, -_HASH_BITS)
 
 
 def fingerprint(*parts: str | bytes) -> int:
-    """Give a 64-bit digest of ``parts``, each framed by its length."""
+    """Return a 64-bit digest of ``parts``, each prefixed by its length."""
     digest = xxhash.xxh3_64()
     for part in parts:
         encoded = part.encode() if isinstance(part, str) else part
--- a/flamingovalve/util/lines.py
+++ b/flamingovalve/util/lines.py
@@ -1,50 +1,50 @@
-"""Writes lines to a descriptor and never waits for its reader."""
+"""Writes lines to a file descriptor without blocking."""
 
 from __future__ import annotations
 
 import os
 from typing import Final
 
-# A pipe takes a write of this size whole or not at all.
-_LONGEST_LINE_BYTES: Final = 4096
+# Writes of at most this size to a pipe are atomic.
+_MAX_LINE_BYTES: Final = 4096
 
 
 class LineWriter:
-    """A text stream whose lines are dropped while nobody reads them.
+    """A text stream that drops lines while the descriptor is not writable.
 
-    A reader of standard output that stops reading fills the pipe, and the
-    next write would hold up every request of the process. Dropped lines are
-    counted, and the count is written as soon as there is room again.
+    When the reader of standard output stops reading, the pipe fills, and a
+    blocking write would stall every request of the process. Dropped lines are
+    counted, and the count is written once a write succeeds again.
     """
 
     def __init__(self, descriptor: int) -> None:
-        """Write to ``descriptor``, which no longer blocks from now on."""
+        """Make ``descriptor`` non-blocking and write to it."""
         self.dropped = 0
         self._descriptor = descriptor
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Write one line, shortened to what a pipe takes at once."""
+        """Write one line, truncated to the size of an atomic write."""
         encoded = text.encode()
-        if len(encoded) > _LONGEST_LINE_BYTES:
-            encoded = b''.join((encoded[: _LONGEST_LINE_BYTES - 1], b'\n'))
-        if self.dropped and self._put(self._dropped_line()):
+        if len(encoded) > _MAX_LINE_BYTES:
+            encoded = b''.join((encoded[: _MAX_LINE_BYTES - 1], b'\n'))
+        if self.dropped and self._try_write(self._dropped_line()):
             self.dropped = 0
-        if not self._put(encoded):
+        if not self._try_write(encoded):
             self.dropped += 1
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: every line is written when it comes."""
+        """Do nothing: lines are not buffered."""
 
     def _dropped_line(self) -> bytes:
         return f'{{"message": "lines dropped", "lines": {self.dropped}}}\n'.encode()
 
-    def _put(self, encoded: bytes) -> bool:
+    def _try_write(self, encoded: bytes) -> bool:
         try:
             os.write(self._descriptor, encoded)
         except OSError:
-            # Nobody reads, or the reader is gone. There is no better place
-            # to say so than the count that is written later.
+            # The pipe is full or its reader has closed it. Nothing better
+            # can report this than the count that is written later.
             return False
         return True
--- a/flamingovalve/util/listeners.py
+++ b/flamingovalve/util/listeners.py
@@ -1,7 +1,7 @@
-"""Listening sockets that are open before the libraries of a daemon load.
+"""Listening sockets that are opened before a daemon loads its libraries.
 
-Imports nothing but the standard library's sockets, so that the ports open
-within milliseconds of the start of a process.
+Imports only modules of the standard library for sockets, so that the ports
+open within milliseconds of the start of a process.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split ``IP:port`` into its two parts.
+    """Split ``IP:port`` into the IP address and the port.
 
-    :raises ValueError: when the text is not of that form
+    :raises ValueError: when ``address`` does not have that form
     """
     host, separator, port = address.rpartition(':')
     if not separator or not port.isdigit():
-        raise ValueError(f'{address!r} is not of the form IP:port')
+        raise ValueError(f'{address!r} does not have the form IP:port')
     return host, int(port)
 
 
@@ -47,14 +47,14 @@
     """Sockets that queue connections until a daemon accepts them."""
 
     def __init__(self) -> None:
-        """Hold none."""
+        """Start without sockets."""
         self._by_address: dict[str, socket.socket] = {}
 
     @classmethod
     def opened(cls, addresses: Iterable[str]) -> Self:
-        """Listen at ``addresses``, as far as they can be bound.
+        """Listen at those of ``addresses`` that can be bound.
 
-        The daemon tries those that cannot once more and says what is wrong.
+        The daemon retries the others and reports why they cannot be bound.
         """
         listeners = cls()
         for address in addresses:
@@ -63,5 +63,5 @@
         return listeners
 
     def take(self, address: str) -> socket.socket | None:
-        """Give the socket of an address to whoever accepts there."""
+        """Remove and return the socket of an address, if there is one."""
         return self._by_address.pop(address, None)
--- a/flamingovalve/util/logs.py
+++ b/flamingovalve/util/logs.py
@@ -1,4 +1,4 @@
-"""Log lines by logbook: text or JSON, a line for each decision."""
+"""Logging with logbook, as text or as JSON lines."""
 
 from __future__ import annotations
 
@@ -28,29 +28,29 @@
 
 
 def get_logger(name: str) -> logbook.Logger:
-    """Give the logger of the module ``name``."""
+    """Return the logger of the module ``name``."""
     return logbook.Logger(name.removeprefix('flamingovalve.'))
 
 
 def note(logger: logbook.Logger, event: str, **facts: Any) -> None:
-    """Write a line about one decision with the facts that decided it."""
+    """Log one decision as ``event`` with the ``facts`` behind it."""
     logger.info(event, extra=facts)
 
 
 class TextHandler(logbook.StreamHandler):
-    """Writes each record as text, its facts behind the message."""
+    """Writes each record as text, with its facts after the message."""
 
     def format(self, record: Any) -> str:
-        """Give the line for ``record``."""
+        """Return the line for ``record``."""
         facts = [f' {name}={fact}' for name, fact in record.extra.items()]
         return super().format(record) + ''.join(facts)
 
 
 class JsonHandler(logbook.StreamHandler):
-    """Writes each record as one JSON object a line."""
+    """Writes each record as a line with one JSON object."""
 
     def format(self, record: Any) -> str:
-        """Give the line for ``record``."""
+        """Return the line for ``record``."""
         return json.dumps(
             {
                 'time': record.time.isoformat(),
@@ -63,15 +63,15 @@
 
 
 class LogOutput:
-    """The installed log output, which a reload replaces."""
+    """The installed log handler, which a settings reload replaces."""
 
     def __init__(self) -> None:
-        """Install nothing yet."""
+        """Start without an installed handler."""
         self._output: logbook.Handler | None = None
         self._lines = LineWriter(sys.stdout.fileno())
 
     def apply(self, settings: LoggingSettings) -> None:
-        """Write from now on as ``settings`` say."""
+        """Install a handler for ``settings``."""
         level = _LEVELS[settings.level]
         if settings.format is LogFormat.JSON:
             output = JsonHandler(self._lines, level=level)
--- a/flamingovalve/util/network.py
+++ b/flamingovalve/util/network.py
@@ -1,4 +1,4 @@
-"""Opens every socket of a daemon, so that tests can cut or silence links."""
+"""Opens all sockets of a daemon, so that tests can cut or block links."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     """Opens listening, connected and datagram sockets."""
 
     def __init__(self, listeners: EarlyListeners | None = None) -> None:
-        """Use sockets that ``listeners`` has open already, where it has."""
+        """Use the sockets that ``listeners`` has already opened."""
         self._listeners = listeners or EarlyListeners()
 
     async def connect(self, address: str, seconds: float) -> Socket:
         """Connect to ``address`` within ``seconds``.
 
-        :raises OSError: when the address refuses or does not answer in time
+        :raises OSError: when the connection is refused or times out
         """
         opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -36,7 +36,7 @@
                 await opened.connect(split_address(address))
         except curio.TaskTimeout as late:
             await self.discard(opened)
-            raise TimeoutError(f'no answer from {address}') from late
+            raise TimeoutError(f'connecting to {address} timed out') from late
         except BaseException:
             await self.discard(opened)
             raise
@@ -44,10 +44,10 @@
         return opened
 
     async def refuses(self, address: str, seconds: float) -> bool:
-        """Tell whether nothing listens at ``address`` any more.
+        """Return whether ``address`` refuses connections.
 
-        Silence may be the network's. A refused connection is an answer of
-        the machine itself.
+        A timeout may be caused by the network. A refused connection is an
+        answer of the machine itself: nothing listens there any more.
         """
         try:
             opened = await self.connect(address, seconds)
@@ -59,11 +59,11 @@
         return False
 
     def listen(self, address: str) -> Socket:
-        """Accept connections at ``address``."""
+        """Open a socket that accepts connections at ``address``."""
         return Socket(self._listeners.take(address) or listen(address))
 
     def datagrams(self, address: str) -> Socket:
-        """Send and receive datagrams at ``address``."""
+        """Open a socket for datagrams at ``address``."""
         opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         opened.bind(split_address(address))
         return opened
@@ -75,27 +75,27 @@
         return accepted
 
     async def discard(self, opened: Socket) -> None:
-        """Close a socket whose other end no longer matters."""
+        """Close a socket and ignore errors."""
         with contextlib.suppress(OSError):
             await opened.close()
 
 
 def has_ended(opened: Socket) -> bool:
-    """Tell whether the other end has closed, without waiting.
+    """Return whether the peer has closed the connection, without waiting.
 
-    An idle connection whose other end has gone shows it by being readable
-    and at its end. A link that went silent shows nothing here.
+    An idle connection that the peer has closed is readable and at end of
+    file. A link that drops all packets is not detected.
     """
     return _peek(opened) == b''
 
 
 def is_quiet(opened: Socket) -> bool:
-    """Tell whether a connection is open and nothing waits to be read."""
+    """Return whether a connection is open and has no data to read."""
     return _peek(opened) is None
 
 
 def _peek(opened: Socket) -> bytes | None:
-    """Give what waits to be read; empty at the end, nothing if none came."""
+    """Return unread data; empty at end of file, ``None`` if none came."""
     if opened.fileno() < 0:
         return b''
     try:
--- a/flamingovalve/util/signals.py
+++ b/flamingovalve/util/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the operating system as something a task can wait for."""
+"""Delivers signals of the operating system to a task."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class SignalQueue:
-    """Gives signals in the order in which they came.
+    """Asynchronous iterator over signals in the order of their arrival.
 
-    The interpreter writes the number of each signal to a socket, so a
-    kernel that waits for descriptors wakes up without polling.
+    The interpreter writes the number of each signal to a socket, so that a
+    curio kernel that waits for descriptors wakes up without polling.
     """
 
     def __init__(self, numbers: Iterable[signal.Signals]) -> None:
-        """Catch the signals of ``numbers`` from now on."""
+        """Install handlers for the signals of ``numbers``."""
         reading, writing = socket.socketpair()
         self._writing = writing
         self._reading = Socket(reading)
@@ -31,7 +31,7 @@
             signal.signal(number, _ignore)
 
     def __aiter__(self) -> Self:
-        """Give the signals one by one."""
+        """Return this iterator."""
         return self
 
     async def __anext__(self) -> signal.Signals:
@@ -41,4 +41,4 @@
 
 
 def _ignore(_number: int, _frame: FrameType | None) -> None:
-    """Leave it to the task that waits."""
+    """Do nothing: the socket delivers the signal to the waiting task."""
--- a/flamingovalve/util/tasks.py
+++ b/flamingovalve/util/tasks.py
@@ -1,4 +1,4 @@
-"""Running and ending curio tasks."""
+"""Sets of curio tasks."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class TaskSet:
-    """Tasks that end together, such as those of one daemon."""
+    """Tasks that are cancelled together, such as those of one daemon."""
 
     def __init__(self) -> None:
-        """Start with no task."""
+        """Start without tasks."""
         self._running: set[curio.Task] = set()
 
     def __len__(self) -> int:
-        """Count the tasks that run."""
+        """Return the number of running tasks."""
         return len(self._running)
 
     async def spawn(
@@ -26,11 +26,11 @@
         work: Callable[..., Awaitable[Any]],
         *arguments: Any,
     ) -> curio.Task:
-        """Start ``work`` and forget it by itself once it ends."""
+        """Run ``work`` in a task that leaves the set when it ends."""
         return await curio.spawn(self._run, work, arguments, daemon=True)
 
     async def cancel(self) -> None:
-        """End every task that still runs."""
+        """Cancel all running tasks except the current one."""
         current = await curio.current_task()
         for task in sorted(self._running, key=lambda entry: entry.id):
             if task is not current:
