--- a/benchmarks/echo.py
+++ b/benchmarks/echo.py
@@ -36,7 +36,7 @@
         if request.path == '/echo':
             await responder.send(Response(200, [], b'{}'))
             return
-        connection = await self._pool.take(self._upstream)
+        connection = await self._pool.acquire(self._upstream)
         forwarded_names = ('content-type', 'x-request-id')
         headers = [
             (name, request.headers[name])
@@ -54,7 +54,7 @@
             await responder.chunk(chunk_bytes)
             chunk_bytes = await connection.chunk(TIMEOUT_SECONDS)
         await responder.end()
-        await self._pool.give(connection)
+        await self._pool.release(connection)
 
 
 def echo_call(_index: int) -> UpstreamCall:
--- a/flamingovalve/claims/runner.py
+++ b/flamingovalve/claims/runner.py
@@ -113,7 +113,7 @@
         if not await self._collect(record, claim):
             return
         try:
-            connection = await self._relay.connect_fresh(
+            connection = await self._relay.open_connection(
                 claim.request,
                 claim.addresses,
             )
--- a/flamingovalve/gateway/inbound.py
+++ b/flamingovalve/gateway/inbound.py
@@ -65,7 +65,7 @@
     :ivar service: service of the route that was chosen for this request
     :ivar tried: upstreams that may have run it
     :ivar refused_by: upstreams that did not run it
-    :ivar has_caller_left: returns whether the caller has disconnected
+    :ivar is_caller_disconnected: returns whether the caller has disconnected
     """
 
     id: RequestId
@@ -84,7 +84,7 @@
     completion: Completion | None = None
     tried: list[str] = field(default_factory=list)
     refused_by: list[str] = field(default_factory=list)
-    has_caller_left: Callable[[], bool] = _never_disconnected
+    is_caller_disconnected: Callable[[], bool] = _never_disconnected
 
     def remaining(self) -> float:
         """Return the seconds until the deadline; negative once passed."""
--- a/flamingovalve/gateway/relay.py
+++ b/flamingovalve/gateway/relay.py
@@ -101,7 +101,7 @@
     def verdict(self, head: ResponseHead, request: InboundRequest) -> Verdict:
         """Classify the head of a response to a request."""
 
-    def kept_seconds(self, head: ResponseHead) -> float | None:
+    def keep_alive_seconds(self, head: ResponseHead) -> float | None:
         """Return the announced keep-alive timeout in seconds, if any."""
 
 
@@ -163,7 +163,7 @@
         if seconds <= 0:
             return None
         try:
-            return await self._pool.take(upstream.address)
+            return await self._pool.acquire(upstream.address)
         except OSError:
             await self._pool.drop(upstream.address)
             return None
@@ -176,7 +176,7 @@
         if sent.outcome in _CONNECTION_UNUSABLE_AFTER:
             await connection.close()
         else:
-            await self._pool.give(connection)
+            await self._pool.release(connection)
 
     async def _exchange_head(
         self,
@@ -192,11 +192,11 @@
             # Skips a duplicate response to an earlier call on this connection;
             # the response to this request follows.
             await connection.body(request.remaining_timeout())
-            connection.expect_another()
+            connection.expect_extra_response()
             head = await connection.head(request.remaining_timeout())
-        keep_alive = self._wire.kept_seconds(head)
+        keep_alive = self._wire.keep_alive_seconds(head)
         if keep_alive is not None:
-            connection.kept_seconds = keep_alive * _KEEP_ALIVE_SHARE
+            connection.keep_alive_seconds = keep_alive * _KEEP_ALIVE_SHARE
         return head
 
     async def _exchange(
@@ -350,7 +350,7 @@
 
     :raises ConnectionLost: if the caller has disconnected
     """
-    if request.has_caller_left():
+    if request.is_caller_disconnected():
         raise ConnectionLost(
             'the caller disconnected before its request was sent'
         )
--- a/flamingovalve/gossip_handlers.py
+++ b/flamingovalve/gossip_handlers.py
@@ -71,7 +71,7 @@
         """Publish new rumours and run the engines' schedulers."""
         while True:
             await curio.sleep(_PUBLISH_SECONDS)
-            for rumour in self._daemon.quarantine.take_news():
+            for rumour in self._daemon.quarantine.take_unsent_rumours():
                 await self._daemon.gossip.push(rumour)
             for rumour in self._daemon.hot_adapters.rumours():
                 await self._daemon.gossip.push(rumour)
--- a/flamingovalve/http/client.py
+++ b/flamingovalve/http/client.py
@@ -81,14 +81,14 @@
 class UpstreamConnection:
     """Connection to an upstream that carries one call at a time.
 
-    :ivar kept_seconds: time that the upstream keeps it open while idle
+    :ivar keep_alive_seconds: time that the upstream keeps it open while idle
     """
 
     def __init__(self, network: Network, address: str, opened: Socket) -> None:
         """Use the socket ``opened``, which is connected to ``address``."""
         self.address = address
         self.idle_since = clock.now()
-        self.kept_seconds = float('inf')
+        self.keep_alive_seconds = float('inf')
         self._network = network
         self._socket = opened
         self._protocol = h11.Connection(our_role=h11.CLIENT)
@@ -189,7 +189,7 @@
         """
         return is_quiet(self._socket)
 
-    def expect_another(self) -> None:
+    def expect_extra_response(self) -> None:
         """Prepare to read a second response to the call that was sent.
 
         The response already read belonged to an earlier call that was
@@ -239,7 +239,7 @@
         self._settings = settings
         self._idle_by_address: dict[str, list[UpstreamConnection]] = {}
 
-    async def take(self, address: str) -> UpstreamConnection:
+    async def acquire(self, address: str) -> UpstreamConnection:
         """Return an idle connection to ``address``, or open a new one."""
         idle = self._idle_by_address.get(address, [])
         while idle:
@@ -247,7 +247,7 @@
             age = clock.now() - connection.idle_since
             max_age = min(
                 self._settings.idle_pool_seconds,
-                connection.kept_seconds,
+                connection.keep_alive_seconds,
             )
             is_young_enough = age < max_age
             if is_young_enough and connection.is_quiet():
@@ -267,7 +267,7 @@
         )
         return UpstreamConnection(self._network, address, opened)
 
-    async def give(self, connection: UpstreamConnection) -> None:
+    async def release(self, connection: UpstreamConnection) -> None:
         """Return a connection to the pool after its call."""
         if connection.is_reusable():
             idle = self._idle_by_address.setdefault(connection.address, [])
@@ -306,14 +306,14 @@
         :raises ConnectionLost: if the connection broke during the call
         :raises TimeoutError: if one of the waits exceeded ``seconds``
         """
-        opener = self.connect if fresh else self.take
+        opener = self.connect if fresh else self.acquire
         connection = await opener(address)
         try:
             response = await self._exchange_on(connection, call, seconds)
         except BaseException:
             await connection.close()
             raise
-        await self.give(connection)
+        await self.release(connection)
         return response
 
     async def _exchange_on(
--- a/flamingovalve/http/server.py
+++ b/flamingovalve/http/server.py
@@ -99,7 +99,7 @@
         await self._write(h11.EndOfMessage())
         self.ended = True
 
-    def has_caller_left(self) -> bool:
+    def is_caller_disconnected(self) -> bool:
         """Return, without waiting, whether the caller has disconnected."""
         return has_ended(self._socket)
 
--- a/flamingovalve/platform/upstreams.py
+++ b/flamingovalve/platform/upstreams.py
@@ -87,7 +87,7 @@
             return Verdict.SUCCESS
         return Verdict.FAILURE
 
-    def kept_seconds(self, head: ResponseHead) -> float | None:
+    def keep_alive_seconds(self, head: ResponseHead) -> float | None:
         """Return the keep-alive timeout of the upstream, if it sends one."""
         text = head.headers.get('keep-alive', '')
         for part in text.split(','):
--- a/flamingovalve/relay/breaker.py
+++ b/flamingovalve/relay/breaker.py
@@ -105,7 +105,7 @@
         """Add the configured fraction of a retry for a successful call."""
         self._tokens = min(self._limit, self._tokens + self._ratio)
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Spend one retry; return False if the budget is exhausted."""
         if self._tokens < 1:
             self.refused += 1
--- a/flamingovalve/relay/completion.py
+++ b/flamingovalve/relay/completion.py
@@ -188,7 +188,7 @@
     async def _connect(self) -> UpstreamConnection:
         address = self.owner.engine.address
         try:
-            return await self._relay.pool.take(address)
+            return await self._relay.pool.acquire(address)
         except OSError as error:
             raise _unreachable_error(self.owner.engine.id, error) from error
 
@@ -207,7 +207,7 @@
             await connection.close()
             raise
         self.may_run = False
-        await self._relay.pool.give(connection)
+        await self._relay.pool.release(connection)
 
     async def _handle_response(
         self,
--- a/flamingovalve/relay/quarantine.py
+++ b/flamingovalve/relay/quarantine.py
@@ -147,7 +147,7 @@
         )
         return True
 
-    def take_news(self) -> list[PoisonRumour]:
+    def take_unsent_rumours(self) -> list[PoisonRumour]:
         """Remove and return the rumours not yet sent to other VMs."""
         rumours = self.unsent_rumours
         self.unsent_rumours = []
--- a/flamingovalve/relay/services.py
+++ b/flamingovalve/relay/services.py
@@ -101,7 +101,7 @@
             await curio.sleep(pause * self._rng.uniform(0.5, 1))
             pause = min(pause * 2, _MAX_PAUSE_SECONDS)
 
-    async def connect_fresh(
+    async def open_connection(
         self,
         request: ServiceRequest,
         addresses: list[str],
@@ -145,7 +145,7 @@
             await connection.close()
             raise
         self._breakers.succeeded(connection.address)
-        await self._pool.give(connection)
+        await self._pool.release(connection)
         headers = [
             (name, head.headers[name])
             for name in _RELAYED_HEADERS
@@ -166,7 +166,7 @@
             )
         address = candidates[0]
         try:
-            connection = await self._pool.take(address)
+            connection = await self._pool.acquire(address)
         except OSError as error:
             self._breakers.failed(address)
             raise _unreachable_error(request.service, str(error)) from error
@@ -188,7 +188,7 @@
         ]
 
     def _may_retry(self, request: ServiceRequest, pause: float) -> bool:
-        return request.remaining() > pause and self._budget.take()
+        return request.remaining() > pause and self._budget.acquire()
 
 
 def _unreachable_error(service: str, reason: str) -> ServingError:
--- a/flamingovalve/routing/router.py
+++ b/flamingovalve/routing/router.py
@@ -367,7 +367,7 @@
             # Another VM takes over within seconds. After that, the caller
             # is told at once to retry later.
             return self._elapsed_seconds() < _MAX_FREE_RETRY_SECONDS
-        return self._budget.take()
+        return self._budget.acquire()
 
     def _elapsed_seconds(self) -> float:
         return clock.now() - self._started_at
--- a/tests/test_sending.py
+++ b/tests/test_sending.py
@@ -32,12 +32,12 @@
         self.case = case
         self.seconds = seconds
 
-    async def take(self, _address):
+    async def acquire(self, _address):
         """Advance the clock and return a connection."""
         self.case.advance(self.seconds)
         return UnusedConnection()
 
-    async def give(self, _connection):
+    async def release(self, _connection):
         """Accept a returned connection."""
 
 
@@ -106,6 +106,6 @@
         request to an upstream, which happened two seconds after the caller
         had disconnected.
         """
-        request = self.request(has_caller_left=lambda: True)
+        request = self.request(is_caller_disconnected=lambda: True)
         with self.assertRaises(ConnectionLost):
             self.send(request, 0)
