--- a/flamingovalve/api.py
+++ b/flamingovalve/api.py
@@ -141,7 +141,7 @@
     async def _entry(self, request: Request) -> Response:
         query = request.query
         credential = query.get('application') or _credential(request)
-        application = _unwrap(self._inventory.authorise(credential))
+        application = _unwrap(self._inventory.authenticate(credential))
         if 'service' in query:
             return self._service_entry(query, application)
         if 'model' not in query:
@@ -231,7 +231,7 @@
             )
 
     def _application(self, request: Request) -> Application:
-        return _unwrap(self._inventory.authorise(_credential(request)))
+        return _unwrap(self._inventory.authenticate(_credential(request)))
 
     def _find_call(
         self,
--- a/flamingovalve/config/inventory.py
+++ b/flamingovalve/config/inventory.py
@@ -85,7 +85,9 @@
             builder.add(CompactPage(page))
         return builder.build()
 
-    def authorise(self, credential: str) -> Result[Application, ServingError]:
+    def authenticate(
+        self, credential: str
+    ) -> Result[Application, ServingError]:
         """Return the application that ``credential`` authenticates.
 
         :param credential: ``APPLICATION`` or ``APPLICATION:SECRET``
--- a/flamingovalve/config/keeper.py
+++ b/flamingovalve/config/keeper.py
@@ -124,7 +124,7 @@
         return self.inventory.version > 0 and self.vm_list is not None
 
     @property
-    def is_busy(self) -> bool:
+    def is_updating(self) -> bool:
         """Whether an update is being fetched or checked."""
         return self._fetch_lock.locked()
 
@@ -201,13 +201,13 @@
     async def apply_rumour(self, rumour: VersionRumour) -> None:
         """Fetch updates from the VM that announced newer versions."""
         member = self._members.by_id.get(rumour.vm)
-        if member is None or not self.is_behind(rumour):
+        if member is None or not self.is_outdated_by(rumour):
             return
         address = member.vm.peer_address
         origin = PeerOrigin(self._peers, address, rumour.vm)
         await self._attempt(self._fetch_newer(rumour, origin))
 
-    def is_behind(self, rumour: VersionRumour) -> bool:
+    def is_outdated_by(self, rumour: VersionRumour) -> bool:
         """Return whether a rumour announces versions newer than ours."""
         own = self.own_rumour()
         newer_list = rumour.list_revision > own.list_revision
--- a/flamingovalve/gossip_handlers.py
+++ b/flamingovalve/gossip_handlers.py
@@ -36,8 +36,8 @@
         # Not forwarded: once this VM holds the version, it publishes its own
         # rumour, and the VMs that receive that one fetch the version here.
         if (
-            self._daemon.keeper.is_behind(rumour)
-            and not self._daemon.keeper.is_busy
+            self._daemon.keeper.is_outdated_by(rumour)
+            and not self._daemon.keeper.is_updating
         ):
             await self._daemon.background.spawn(
                 self._daemon.keeper.apply_rumour, rumour
