--- a/flamingovalve/gateway/daemon.py
+++ b/flamingovalve/gateway/daemon.py
@@ -426,7 +426,7 @@
 
     async def _refuses_connections(self, address: str) -> bool:
         seconds = self.settings.relay.connect_seconds
-        return await self.network.refuses(address, seconds)
+        return await self.network.refuses_connections(address, seconds)
 
     async def _announce_claim(self, rumour: messages.OwnerRumour) -> None:
         await self.gossip.push(rumour)
--- a/flamingovalve/gateway/directory.py
+++ b/flamingovalve/gateway/directory.py
@@ -59,7 +59,7 @@
             for member in near
         }
         count = min(self._max_near, _MAX_ADDRESSES)
-        return hashing.weighted(f'callers {domain}', sizes)[:count]
+        return hashing.weighted_rank(f'callers {domain}', sizes)[:count]
 
     def _is_reachable(self, member: Member) -> bool:
         if not member.vm.http_address:
--- a/flamingovalve/gateway/places.py
+++ b/flamingovalve/gateway/places.py
@@ -22,7 +22,7 @@
 from flamingovalve.peer.client import PeerUnreachable
 from flamingovalve.peer.server import PeerHeartbeats, error_of, refusal_of
 from flamingovalve.util.logs import get_logger
-from flamingovalve.util.network import has_ended
+from flamingovalve.util.network import is_closed_by_peer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -264,7 +264,7 @@
         ask: PlaceAsk,
         connection: PeerConnection,
     ) -> None:
-        if has_ended(connection.socket):
+        if is_closed_by_peer(connection.socket):
             # The asking VM gave up before its message was read. Work for it
             # would take capacity from requests that are still waiting.
             owner.counts.withdrawn += 1
--- a/flamingovalve/http/server.py
+++ b/flamingovalve/http/server.py
@@ -19,7 +19,7 @@
     header_map,
 )
 from flamingovalve.util.logs import get_logger
-from flamingovalve.util.network import has_ended
+from flamingovalve.util.network import is_closed_by_peer
 from flamingovalve.util.tasks import TaskSet
 
 if TYPE_CHECKING:
@@ -101,7 +101,7 @@
 
     def is_caller_disconnected(self) -> bool:
         """Return, without waiting, whether the caller has disconnected."""
-        return has_ended(self._socket)
+        return is_closed_by_peer(self._socket)
 
     def watch_caller(self) -> CallerWatch:
         """Return a context that cancels the current task on disconnection.
--- a/flamingovalve/membership/gossip.py
+++ b/flamingovalve/membership/gossip.py
@@ -277,7 +277,9 @@
 
     async def _has_ended(self, target: Member) -> bool:
         address = target.vm.peer_address
-        return await self._network.refuses(address, self._settings.ack_seconds)
+        return await self._network.refuses_connections(
+            address, self._settings.ack_seconds
+        )
 
     async def _verify_end(self, vm: VmId) -> None:
         """Check whether the process of a VM that is rumoured dead has ended.
--- a/flamingovalve/peer/client.py
+++ b/flamingovalve/peer/client.py
@@ -11,7 +11,7 @@
 from flamingovalve.peer.connection import PeerConnection, own_hello
 from flamingovalve.util import clock
 from flamingovalve.util.authentication import Keyring
-from flamingovalve.util.network import has_ended
+from flamingovalve.util.network import is_closed_by_peer
 
 if TYPE_CHECKING:
     from flamingovalve.generated.ids import Incarnation, VmId
@@ -140,7 +140,7 @@
         :raises PeerUnreachable: when no connection could be opened
         """
         connection = await self.acquire(address, vm)
-        if not has_ended(connection.socket):
+        if not is_closed_by_peer(connection.socket):
             return connection
         await connection.close()
         return await self.connect(address, vm)
--- a/flamingovalve/util/hashing.py
+++ b/flamingovalve/util/hashing.py
@@ -58,7 +58,7 @@
     )
 
 
-def weighted(key: str, sizes: Mapping[str, float]) -> list[str]:
+def weighted_rank(key: str, sizes: Mapping[str, float]) -> list[str]:
     """Rank candidates for ``key`` by weighted rendezvous hashing.
 
     A candidate of twice the size ranks first twice as often. As with
--- a/flamingovalve/util/network.py
+++ b/flamingovalve/util/network.py
@@ -43,7 +43,7 @@
         opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return opened
 
-    async def refuses(self, address: str, seconds: float) -> bool:
+    async def refuses_connections(self, address: str, seconds: float) -> bool:
         """Return whether ``address`` refuses connections.
 
         A timeout may be caused by the network. A refused connection is an
@@ -80,7 +80,7 @@
             await opened.close()
 
 
-def has_ended(opened: Socket) -> bool:
+def is_closed_by_peer(opened: Socket) -> bool:
     """Return whether the peer has closed the connection, without waiting.
 
     An idle connection that the peer has closed is readable and at end of
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -88,7 +88,7 @@
     def test_twice_the_weight_ranks_first_twice_as_often(self):
         sizes = {'a': 2.0, 'b': 1.0, 'c': 1.0}
         first_counts = Counter(
-            hashing.weighted(f'key {n}', sizes)[0] for n in range(4000)
+            hashing.weighted_rank(f'key {n}', sizes)[0] for n in range(4000)
         )
         self.assertAlmostEqual(first_counts['a'] / 4000, 0.5, delta=0.03)
         self.assertAlmostEqual(first_counts['b'] / 4000, 0.25, delta=0.03)
