--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -105,12 +105,12 @@
 
 def _settling_seconds(fleet: Fleet) -> float:
     """Return the seconds after which the fleet stayed settled."""
-    started_at = fleet.world.moment
+    started_at = fleet.world.current_time
     last_unsettled = 0.0
-    while fleet.world.moment - started_at < WATCH_SECONDS:
+    while fleet.world.current_time - started_at < WATCH_SECONDS:
         fleet.world.advance(0.1)
         if not fleet.is_settled():
-            last_unsettled = fleet.world.moment - started_at
+            last_unsettled = fleet.world.current_time - started_at
     assert fleet.is_settled(), fleet.owners()
     return last_unsettled
 
--- a/standins/configuration_service.py
+++ b/standins/configuration_service.py
@@ -39,7 +39,7 @@
     """Serves values; can be down, stale, slow or return invalid JSON.
 
     :ivar down: whether to drop every connection
-    :ivar rubbish: whether to answer with bytes that are not JSON
+    :ivar sends_invalid_json: whether to answer with bytes that are not JSON
     :ivar slow_seconds: delay before each response
     """
 
@@ -48,7 +48,7 @@
         super().__init__(network, address)
         self.values_by_key: dict[str, PublishedContent] = {}
         self.down = False
-        self.rubbish = False
+        self.sends_invalid_json = False
         self.slow_seconds = 0.0
         self.calls = 0
         self.refused_calls = 0
@@ -126,7 +126,9 @@
     def _response(self, published: PublishedContent | None) -> Response:
         if published is None:
             return Response(HTTPStatus.NOT_MODIFIED)
-        content = b'\xff not json' if self.rubbish else published.content
+        content = (
+            b'\xff not json' if self.sends_invalid_json else published.content
+        )
         return Response(
             HTTPStatus.OK, [('x-revision', str(published.revision))], content
         )
--- a/tests/rig/history.py
+++ b/tests/rig/history.py
@@ -57,7 +57,7 @@
         """Send a payment without waiting for its response."""
         address = self.fleet.vms_by_id[vm_id].http_address
         task = self.fleet.caller.start(address, pay_call(key, order), 100)
-        sent_at = self.fleet.world.moment
+        sent_at = self.fleet.world.current_time
         payment = Payment(key, order, vm_id, sent_at, task)
         self.payments.append(payment)
         return payment
@@ -75,7 +75,7 @@
         address = self.fleet.vms_by_id[vm_id].http_address
         call = completion_call(name, prompt, stream=stream, **options)
         task = self.fleet.caller.start(address, call, 110)
-        sent_at = self.fleet.world.moment
+        sent_at = self.fleet.world.current_time
         sent = Completion(name, prompt, stream, vm_id, sent_at, task)
         self.completions.append(sent)
         return sent
--- a/tests/rig/network.py
+++ b/tests/rig/network.py
@@ -218,7 +218,7 @@
             connection.silent = True
         return len(silenced)
 
-    def hang_up(self) -> None:
+    def shut_down_connections(self) -> None:
         """Shut down every open connection, as an application does."""
         for connection in self.connections:
             if connection.fileno() >= 0:
--- a/tests/rig/timeline.py
+++ b/tests/rig/timeline.py
@@ -14,10 +14,12 @@
 
     def setUp(self) -> None:
         """Replace the clock by a stopped one."""
-        self.moment = _START
-        clock.replace_source(lambda: self.moment, lambda: self.moment)
+        self.current_time = _START
+        clock.replace_source(
+            lambda: self.current_time, lambda: self.current_time
+        )
         self.addCleanup(clock.restore_source)
 
     def advance(self, seconds: float) -> None:
         """Move the clock forward."""
-        self.moment += seconds
+        self.current_time += seconds
--- a/tests/rig/world.py
+++ b/tests/rig/world.py
@@ -89,12 +89,12 @@
         """Return whether a task is ready to run."""
         return bool(self._ready)
 
-    def next_wake(self, moment: float) -> float | None:
+    def next_wake(self, current_time: float) -> float | None:
         """Return the seconds until the next timer of this node expires.
 
         :returns: None if no task sleeps
         """
-        return self._sleeping.next_deadline(moment)
+        return self._sleeping.next_deadline(current_time)
 
     def destroy(self) -> None:
         """End the process without any cleanup, as SIGKILL does."""
@@ -148,7 +148,7 @@
     def __init__(self) -> None:
         """Install the virtual clock and collect crashes and errors."""
         self.traffic = Traffic()
-        self.moment = _START
+        self.current_time = _START
         self.nodes: list[Node] = []
         self._master = select.epoll()
         self._real_time = curio.kernel.time
@@ -163,11 +163,11 @@
 
     def monotonic(self) -> float:
         """Return the virtual monotonic time in seconds."""
-        return self.moment
+        return self.current_time
 
     def wall(self) -> float:
         """Return the virtual Unix time in seconds."""
-        return self.moment - _START + _WALL_START
+        return self.current_time - _START + _WALL_START
 
     def add(self, name: str, network: Any) -> Node:
         """Create a node and add it to the world."""
@@ -203,7 +203,7 @@
 
         :returns: whether ``done`` holds
         """
-        end = self.moment + seconds
+        end = self.current_time + seconds
         while True:
             self._run_until_idle(done)
             if done():
@@ -282,7 +282,7 @@
         for node in list(self.nodes):
             if node.paused or node.dead:
                 continue
-            timer_delay = node.next_wake(self.moment)
+            timer_delay = node.next_wake(self.current_time)
             timer_expired = timer_delay is not None and timer_delay <= 0
             has_events = node.selector.fileno() in readable
             if has_events or timer_expired or node.has_ready_tasks():
@@ -295,14 +295,14 @@
             delay
             for node in self.nodes
             if not node.paused
-            and (delay := node.next_wake(self.moment)) is not None
+            and (delay := node.next_wake(self.current_time)) is not None
         ]
-        wake_at = self.moment + max(min(delays, default=float('inf')), 0)
+        wake_at = self.current_time + max(min(delays, default=float('inf')), 0)
         if wake_at > end:
-            self.moment = end
+            self.current_time = end
             return False
         # The sum may be rounded to just below the deadline, so step past it.
-        self.moment = max(wake_at, self.moment + 1e-9)
+        self.current_time = max(wake_at, self.current_time + 1e-9)
         return True
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -54,7 +54,7 @@
         A new owner sends no orders for one lease. Callers of adapters that no
         engine holds waited until they disconnected, without a retry time.
         """
-        self.engine.chain.paused_until = self.moment + LEASE
+        self.engine.chain.paused_until = self.current_time + LEASE
         refusal = self.find_refusal(ask('new'))
         self.assertGreaterEqual(refusal.retry_after, LEASE)
         self.assertIsNone(self.find_refusal(ask('a1')))
@@ -65,7 +65,9 @@
         A request got a place after two seconds, and its caller disconnected
         before the first event.
         """
-        waiter = Waiter(ask('new', patience=2.1), self.moment, self.moment)
+        waiter = Waiter(
+            ask('new', patience=2.1), self.current_time, self.current_time
+        )
         self.advance(2)
         waiter.update_times()
         self.assertAlmostEqual(waiter.ask.patience, 0.1)
@@ -75,7 +77,7 @@
         """Guards against refusals while loads are only paused."""
         admission = Admission()
         engines = [self.engine]
-        self.engine.chain.paused_until = self.moment + 1
+        self.engine.chain.paused_until = self.current_time + 1
         for _check in range(9):
             self.advance(0.1)
             position = QueuePosition(2, is_late=True)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -517,7 +517,7 @@
         text, executor, witness = self.permit()
         first = self.start_pay(executor, text)
         self.fleet.world.advance(0.5)
-        self.fleet.caller.network.hang_up()
+        self.fleet.caller.network.shut_down_connections()
         self.fleet.world.advance(5)
         del first
         other = self.other_vm(executor, witness)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -167,11 +167,11 @@
     def test_malformed_and_slow_answers(self):
         """Malformed answers change nothing; slow answers are still accepted."""
         held = self.fleet.version
-        self.fleet.configuration.rubbish = True
+        self.fleet.configuration.sends_invalid_json = True
         self.fleet.announce()
         self.fleet.world.advance(60)
         self.assertTrue(self.all_hold(held))
-        self.fleet.configuration.rubbish = False
+        self.fleet.configuration.sends_invalid_json = False
         self.fleet.configuration.slow_seconds = 1
         self.assert_accepted(self.fleet.publish(), seconds=10)
 
--- a/tests/test_credit.py
+++ b/tests/test_credit.py
@@ -19,7 +19,7 @@
     """Grants, refusals and returns of a bucket."""
 
     def test_burst_then_rate(self):
-        bucket = CreditBucket(QUOTA, self.moment - 10)
+        bucket = CreditBucket(QUOTA, self.current_time - 10)
         taken = sum(bucket.take(1) == 0 for _ask in range(200))
         self.assertEqual(taken, 50)
         self.advance(0.5)
@@ -27,7 +27,7 @@
         self.assertEqual(taken, 50)
 
     def test_request_larger_than_the_burst_overdraws(self):
-        bucket = CreditBucket(QUOTA, self.moment - 10)
+        bucket = CreditBucket(QUOTA, self.current_time - 10)
         self.assertEqual(bucket.take(150), 0)
         self.assertAlmostEqual(bucket.take(1), 1.01)
         self.advance(1.02)
@@ -35,7 +35,7 @@
 
     def test_concurrent_refusals_get_staggered_waits(self):
         """With equal waits, the requests would retry and be refused together."""
-        bucket = CreditBucket(QUOTA, self.moment - 10)
+        bucket = CreditBucket(QUOTA, self.current_time - 10)
         bucket.take(60)
         waits = [bucket.take(20) for _ask in range(4)]
         self.assertEqual(
@@ -45,25 +45,25 @@
 
     def test_large_request_does_not_hold_small_ones_back(self):
         """A large request that overdrew the bucket would block small ones."""
-        bucket = CreditBucket(QUOTA, self.moment - 10)
+        bucket = CreditBucket(QUOTA, self.current_time - 10)
         bucket.take(30)
         self.assertGreater(bucket.take(40), 0)
         self.assertEqual(sum(bucket.take(1) == 0 for _ask in range(30)), 20)
 
     def test_unused_credit_is_given_back(self):
-        bucket = CreditBucket(QUOTA, self.moment - 10)
+        bucket = CreditBucket(QUOTA, self.current_time - 10)
         bucket.take(60)
         bucket.give_back(60)
         self.assertEqual(bucket.take(50), 0)
 
     def test_credit_given_back_does_not_exceed_the_burst(self):
-        bucket = CreditBucket(QUOTA, self.moment - 10)
+        bucket = CreditBucket(QUOTA, self.current_time - 10)
         bucket.take(1)
         bucket.give_back(1000)
         self.assertLessEqual(bucket.balance, BURST)
 
     def test_lowered_quota_applies_at_once(self):
-        bucket = CreditBucket(QUOTA, self.moment - 10)
+        bucket = CreditBucket(QUOTA, self.current_time - 10)
         bucket.take(1)
         bucket.update_quota(Quota(1.0, 2.0))
         taken = sum(bucket.take(1) == 0 for _ask in range(100))
@@ -73,7 +73,7 @@
         """Random sizes and times, with the credit of some requests returned."""
         for seed in range(40):
             rng = random.Random(seed)
-            bucket = CreditBucket(QUOTA, self.moment)
+            bucket = CreditBucket(QUOTA, self.current_time)
             served = []
             for _step in range(400):
                 self.advance(rng.choice((0, 0.001, 0.05, 2)))
@@ -82,23 +82,24 @@
                     if rng.random() < 0.2:
                         bucket.give_back(size)
                     else:
-                        served.append((self.moment, size))
+                        served.append((self.current_time, size))
             self.assertLessEqual(worst_excess(served), 1e-6, seed)
 
     def test_partitions_together_keep_within_the_quota(self):
         buckets = [
-            (CreditBucket(QUOTA, self.moment), share) for share in (0.35, 0.65)
+            (CreditBucket(QUOTA, self.current_time), share)
+            for share in (0.35, 0.65)
         ]
         served = []
         for _step in range(2000):
             self.advance(0.01)
             for bucket, share in buckets:
                 if bucket.take(5, share) == 0:
-                    served.append((self.moment, 5))
+                    served.append((self.current_time, 5))
         self.assertLessEqual(worst_excess(served), BURST + 1e-6)
 
     def test_share_of_zero_accrues_nothing(self):
-        bucket = CreditBucket(QUOTA, self.moment)
+        bucket = CreditBucket(QUOTA, self.current_time)
         bucket.take(1, 0)
         self.advance(100)
         self.assertGreater(bucket.take(1, 0), 0)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -197,7 +197,7 @@
             engine.models.clear()
         self.assertFalse(dispatch.is_fetching([first, second]))
         first.fetches_model = True
-        first.model_ready_at = self.moment + 2
+        first.model_ready_at = self.current_time + 2
         self.assertTrue(dispatch.is_fetching([first, second]))
         first.models.add(MODEL)
         self.assertFalse(dispatch.is_fetching([first, second]))
@@ -205,7 +205,7 @@
     def test_model_from_disk_does_not_count_as_fetch(self):
         engine = ledger('engine-0')
         engine.models.clear()
-        engine.model_ready_at = self.moment + 2
+        engine.model_ready_at = self.current_time + 2
         self.assertFalse(dispatch.is_fetching([engine]))
 
     def test_no_engine_needs_no_model(self):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -173,7 +173,7 @@
             engine.dropped_orders = 1
         task = self.site.begin('vm-0', self.site.chat('a'))
         self.site.world.advance(0.1)
-        self.site.caller.network.hang_up()
+        self.site.caller.network.shut_down_connections()
         self.site.world.advance(8)
         self.assertTrue(task.terminated)
         owner = self.site.vms_by_id[self.site.owner()].daemon
--- a/tests/test_group_claims.py
+++ b/tests/test_group_claims.py
@@ -41,7 +41,7 @@
     def setUp(self) -> None:
         """Find the VM that should claim the group."""
         super().setUp()
-        claims = [GroupClaims(table_of(vm), self.moment) for vm in VMS]
+        claims = [GroupClaims(table_of(vm), self.current_time) for vm in VMS]
         self.advance(10)
         self.claimer = next(c for c in claims if c.should_claim(GROUP))
         self.others = [c for c in claims if c is not self.claimer]
@@ -150,7 +150,7 @@
         owner would claim it back. Engines would see two holders alternate.
         """
         claim = self.claimer.claim(GROUP, 7)
-        fresh = GroupClaims(table_of(VMS[0]), self.moment)
+        fresh = GroupClaims(table_of(VMS[0]), self.current_time)
         del fresh.members.by_id[claim.vm]
         fresh.members.invalidate_present()
         fresh.apply_rumour(claim)
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -55,10 +55,10 @@
         engine.kept.record_unload(AdapterId('a'))
         held = hold(engine, 'a')
         engine.record_load_accepted(held)
-        self.assertLess(held.ready_at - self.moment, 0.1)
+        self.assertLess(held.ready_at - self.current_time, 0.1)
         self.advance(0.03)
         engine.record_adapter_missing(AdapterId('a'))
-        self.assertGreater(held.ready_at - self.moment, 0.2)
+        self.assertGreater(held.ready_at - self.current_time, 0.2)
 
 
 class TestMeanSeconds(TimedTestCase):
@@ -131,14 +131,14 @@
             loads.under_way = under_way - 1
             load = loads.expected(is_kept=False)
             load_seconds = seconds * max(1, under_way / full_speed)
-            if load.ready_at - self.moment >= load_seconds:
+            if load.ready_at - self.current_time >= load_seconds:
                 loads.record_hit(load)
             else:
                 loads.record_miss(load)
                 missed += 1
         loads.under_way = under_way - 1
         load = loads.expected(is_kept=False)
-        return load.ready_at - self.moment, missed
+        return load.ready_at - self.current_time, missed
 
     def test_store_with_more_full_speed_loads(self):
         """Guards against an estimate that stays below the store's capacity.
--- a/tests/test_owned_groups.py
+++ b/tests/test_owned_groups.py
@@ -53,7 +53,7 @@
             self._revision,
             self._probe,
             lambda _upstream: OrderedEngine(),
-            self.moment,
+            self.current_time,
         )
 
     async def _revision(self):
@@ -65,7 +65,9 @@
 
     def _claims_of_candidate(self):
         tables = [table_of(vm) for vm in VMS]
-        all_claims = [GroupClaims(members, self.moment) for members in tables]
+        all_claims = [
+            GroupClaims(members, self.current_time) for members in tables
+        ]
         self.advance(2)
         return next(one for one in all_claims if one.should_claim(GROUP))
 
@@ -79,7 +81,7 @@
     def seconds_until_orders(self):
         """Return the seconds until the VM may send orders."""
         engine = self.owned.find(GROUP).engines.engines_by_id['engine-0']
-        return engine.ledger.chain.paused_until - self.moment
+        return engine.ledger.chain.paused_until - self.current_time
 
     def test_no_orders_within_a_lease_of_losing_the_group(self):
         """Another VM claims the group and ends, so this VM acquires it again.
@@ -187,7 +189,9 @@
             await self.owned.reconcile(announce)
             self.revision = 300
             self.advance(1)
-            await self.owned.find(GROUP).fences.found_after(self.moment - 1)
+            await self.owned.find(GROUP).fences.found_after(
+                self.current_time - 1
+            )
             await self.owned.announce_raised_epochs(announce)
             self.assertEqual(announced[-1], 300)
             self.assertEqual(self.claims.by_group[GROUP].epoch, 300)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -204,7 +204,7 @@
         self.start('adapter-1', 'long', stream=True, max_tokens=1000)
         self.start('adapter-2', 'long', max_tokens=1000)
         self.fleet.world.advance(2)
-        self.fleet.caller.network.hang_up()
+        self.fleet.caller.network.shut_down_connections()
         self.fleet.world.advance(5)
         self.assertEqual(self.total('cancelled'), 2)
         for daemon in self.fleet.daemons():
@@ -223,7 +223,7 @@
         The caller gets an error at its deadline, and the engine cancels the
         request.
         """
-        started = self.fleet.world.moment
+        started = self.fleet.world.current_time
         response = self.fleet.complete(
             'vm-0',
             'adapter-1',
@@ -232,7 +232,7 @@
         )
         self.assertEqual(error_type(response), 'deadline_passed')
         self.assertEqual(ran(response), 'unknown')
-        self.assertLess(self.fleet.world.moment - started, 3)
+        self.assertLess(self.fleet.world.current_time - started, 3)
         self.fleet.world.advance(3)
         self.assertEqual(self.total('cancelled'), 1)
 
@@ -251,12 +251,12 @@
         """The weight store is down: a prompt error, the request is not run."""
         for engine in self.fleet.engines_by_id.values():
             engine.fail_loads = 1000
-        started = self.fleet.world.moment
+        started = self.fleet.world.current_time
         response = self.fleet.complete('vm-0', 'adapter-1')
         self.assertEqual(error_type(response), 'load_failed')
         self.assertEqual(ran(response), 'no')
         self.assertIsNotNone(response.header('retry-after'))
-        self.assertLess(self.fleet.world.moment - started, 30)
+        self.assertLess(self.fleet.world.current_time - started, 30)
 
     def test_engine_lost_its_adapters(self):
         """An engine restarts with empty slots between two reports.
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -44,11 +44,11 @@
 
     def seconds_of(self, task):
         """Wait for a request; return the seconds that it took from now."""
-        started = self.fleet.world.moment
+        started = self.fleet.world.current_time
         done = self.fleet.world.run_until(lambda: task.terminated, 120)
         self.assertTrue(done)
         self.assertEqual(outcome_of(task).status, OK)
-        return self.fleet.world.moment - started
+        return self.fleet.world.current_time - started
 
     def scheduler(self):
         """Return the scheduler of the engine."""
@@ -216,7 +216,7 @@
         """
         tasks = []
         for turn in range(400):
-            sent_at = self.fleet.world.moment
+            sent_at = self.fleet.world.current_time
             task = self.start(turn % 4, max_tokens=50, deadline=4)
             self.fleet.world.advance(0.025)
             tasks.append((sent_at, task))
--- a/tests/test_sending.py
+++ b/tests/test_sending.py
@@ -72,8 +72,8 @@
             [],
             b'',
             route,
-            self.moment,
-            self.moment + 1,
+            self.current_time,
+            self.current_time + 1,
             1,
         )
         for name, content in changes.items():
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -34,10 +34,10 @@
 
     def settle(self, seconds):
         """Wait until every engine has one owner; return the seconds it took."""
-        started = self.fleet.world.moment
+        started = self.fleet.world.current_time
         settled = self.fleet.world.run_until(self.fleet.is_settled, seconds)
         self.assertTrue(settled, self.fleet.owners())
-        return self.fleet.world.moment - started
+        return self.fleet.world.current_time - started
 
     def owner(self, engine='engine-0'):
         """Return the VM that owns an engine."""
@@ -114,11 +114,11 @@
         resident = self.fleet.engines_by_id[engine].resident
         absent = [name for name in mine if name not in resident]
         self.assertEqual(len(resident), self.shape.slots)
-        started = self.fleet.world.moment
+        started = self.fleet.world.current_time
         self.fleet.kill(owner)
         response = self.fleet.complete(self.other_than(owner), absent[0])
         self.assertEqual(response.status, OK)
-        self.assertLess(self.fleet.world.moment - started, 4.5)
+        self.assertLess(self.fleet.world.current_time - started, 4.5)
 
     def test_failure_domain_is_killed(self):
         """All VMs of one failure domain are killed at once.
