--- a/flamingovalve/gateway/daemon.py
+++ b/flamingovalve/gateway/daemon.py
@@ -83,14 +83,14 @@
         settings: Settings,
         network: Network,
         platform: PlatformAdapter,
-        chance: random.Random,
+        rng: random.Random,
         incarnation: Incarnation,
         started_at: float | None = None,
     ) -> None:
         """Create the components without starting them.
 
         :param platform: adapter to the formats of the users' platform
-        :param chance: source of random choices
+        :param rng: source of random choices
         :param started_at: start of this process in clock seconds; defaults to
             the current time
         """
@@ -98,7 +98,7 @@
         self.settings = settings
         self.network = network
         self.platform = platform
-        self.chance = chance
+        self.rng = rng
         self.incarnation = incarnation
         self.is_leaving = False
         self.stopped = curio.Event()
@@ -106,7 +106,7 @@
         self.members = MemberTable(VmId(settings.vm.peer_address), incarnation)
         self.pool = ConnectionPool(network, settings.relay)
         self.peers = PeerPool(network, settings, incarnation)
-        self.gossip = Gossip(network, self.members, settings.fleet, chance)
+        self.gossip = Gossip(network, self.members, settings.fleet, rng)
         self.catalogue = Catalogue(platform.decode)
         self.follower = CatalogueFollower(
             self.catalogue,
@@ -118,7 +118,7 @@
                 settings.platform.watchers_per_domain,
                 clock.now(),
             ),
-            chance,
+            rng,
         )
         self._build_serving()
         self._build_servers()
@@ -140,8 +140,8 @@
         """
         settings.vm.id = VmId(settings.vm.peer_address)
         incarnation = Incarnation(int(clock.wall() * _MICROSECONDS))
-        chance = random.Random(seed)
-        return cls(settings, network, platform, chance, incarnation, started_at)
+        rng = random.Random(seed)
+        return cls(settings, network, platform, rng, incarnation, started_at)
 
     def _build_serving(self) -> None:
         settings = self.settings
@@ -186,7 +186,7 @@
         )
         attempts = Attempts(retry_budget, self.quarantine)
         relay = UpstreamRelay(self.pool, self.platform.wire)
-        balancer = Balancer(domain, self.chance)
+        balancer = Balancer(domain, self.rng)
         calls = CallServer(self.catalogue, balancer, relay, attempts)
         self.completions = CompletionServer(
             domain,
@@ -202,7 +202,7 @@
             calls,
             self.completions,
             self.quarantine,
-            self.chance,
+            self.rng,
         )
 
     def _build_servers(self) -> None:
@@ -437,7 +437,7 @@
         count = min(_REPEATED_CLAIMS_PER_PROBE, len(claims))
         return [
             self.follower.own_rumour(),
-            *self.chance.sample(claims, count),
+            *self.rng.sample(claims, count),
         ]
 
 
--- a/flamingovalve/gateway/follower.py
+++ b/flamingovalve/gateway/follower.py
@@ -105,7 +105,7 @@
         members: MemberTable,
         peers: PeerPool,
         watchers: Watchers,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         """Keep ``catalogue`` up to date."""
         self.publish: Callable[[WatchRumour], Awaitable[None]] = _discard_rumour
@@ -118,7 +118,7 @@
         self._members = members
         self._peers = peers
         self._watchers = watchers
-        self._chance = chance
+        self._rng = rng
         self._pending_fetches: dict[VmId, _PendingFetch] = {}
         self._must_read = True
         self._is_watching = False
@@ -129,16 +129,16 @@
         pause = _INITIAL_PAUSE_SECONDS
         while True:
             if not self._should_call_store():
-                await curio.sleep(jittered(self._chance, _TURN_CHECK_SECONDS))
+                await curio.sleep(jittered(self._rng, _TURN_CHECK_SECONDS))
                 continue
             try:
                 if await self._follow(
-                    jittered(self._chance, _WATCH_TIMEOUT_SECONDS)
+                    jittered(self._rng, _WATCH_TIMEOUT_SECONDS)
                 ):
                     await curio.sleep(_BATCH_PAUSE_SECONDS)
             except (HistoryGone, StoreUnavailable) as failed:
                 await self._handle_failure(failed)
-                await curio.sleep(jittered(self._chance, pause))
+                await curio.sleep(jittered(self._rng, pause))
                 pause = min(pause * 2, _MAX_PAUSE_SECONDS)
             else:
                 pause = _INITIAL_PAUSE_SECONDS
--- a/flamingovalve/gateway/serving.py
+++ b/flamingovalve/gateway/serving.py
@@ -29,7 +29,7 @@
         calls: CallServer,
         completions: CompletionServer,
         quarantine: CrashQuarantine,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         """Serve through ``calls`` or ``completions``, by service type."""
         self._catalogue = catalogue
@@ -37,7 +37,7 @@
         self._calls = calls
         self._completions = completions
         self._quarantine = quarantine
-        self._chance = chance
+        self._rng = rng
 
     async def serve(
         self,
@@ -62,7 +62,7 @@
         weighted_services = request.route.services
         names = [share.service for share in weighted_services]
         weights = [share.weight for share in weighted_services]
-        name = self._chance.choices(names, weights)[0]
+        name = self._rng.choices(names, weights)[0]
         service = self._catalogue.configuration.services_by_name.get(name)
         if service is None:
             raise no_upstream(name)
--- a/flamingovalve/membership/gossip.py
+++ b/flamingovalve/membership/gossip.py
@@ -102,7 +102,7 @@
         network: Network,
         members: MemberTable,
         settings: FleetSettings,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         """Keep ``members`` up to date by probes and rumours."""
         self.members = members
@@ -116,7 +116,7 @@
         self._network = network
         self._settings = settings
         self._keyring = Keyring.from_settings(settings)
-        self._chance = chance
+        self._rng = rng
         self._socket: Socket | None = None
         self._probes = TaskSet()
         self._sequence = 0
@@ -124,7 +124,7 @@
         self._ack_events: dict[int, curio.Event] = {}
         self._probe_order: list[VmId] = []
         self._immediate_probes: set[VmId] = set()
-        self._eager_push = EagerPush(members, chance, self._send_rumours)
+        self._eager_push = EagerPush(members, rng, self._send_rumours)
         self._replay_windows: dict[VmId, tuple[Incarnation, ReplayWindow]] = {}
 
     def open(self, address: str) -> None:
@@ -158,7 +158,7 @@
         await self.push(self.members.own_rumour())
         while True:
             period = self._settings.probe_seconds
-            pause = jittered(self._chance, period)
+            pause = jittered(self._rng, period)
             planned = clock.now() + pause
             await curio.sleep(pause)
             self._check_late_wakeup(planned)
@@ -230,17 +230,17 @@
             for member in self.members.others()
             if member.state is MemberState.DEAD
         ]
-        if dead and self._chance.random() < _DEAD_PROBE_SHARE:
-            return self._chance.choice(dead)
+        if dead and self._rng.random() < _DEAD_PROBE_SHARE:
+            return self._rng.choice(dead)
         while self._probe_order:
             member = self.members.by_id.get(self._probe_order.pop())
             if member is not None and member.state is not MemberState.DEAD:
                 return member
         self._probe_order = [member.vm.id for member in self.members.others()]
-        self._chance.shuffle(self._probe_order)
+        self._rng.shuffle(self._probe_order)
         if len(dead) < len(self._probe_order):
             return self._next_target()
-        return self._chance.choice(dead) if dead else None
+        return self._rng.choice(dead) if dead else None
 
     async def _probe_one(self, target: Member) -> None:
         self._last_probe += 1
@@ -306,7 +306,7 @@
             for member in self.members.others()
             if member is not target and member.state is MemberState.ALIVE
         ]
-        self._chance.shuffle(candidates)
+        self._rng.shuffle(candidates)
         # One helper of each failure domain comes before a second of any:
         # helpers behind the same broken switch all fail to reach the target.
         candidates.sort(key=_RoundRobin())
@@ -489,9 +489,7 @@
                 # send the ack to without this rumour.
                 rumours.append(self.members.own_rumour())
                 rumours.extend(
-                    self.members.sample_rumours(
-                        self._chance, _MEMBERS_PER_PROBE
-                    ),
+                    self.members.sample_rumours(self._rng, _MEMBERS_PER_PROBE),
                 )
         if target.state is not MemberState.ALIVE:
             # The target can refute its state only if it learns of it.
--- a/flamingovalve/membership/members.py
+++ b/flamingovalve/membership/members.py
@@ -289,7 +289,7 @@
 
     def sample_rumours(
         self,
-        chance: random.Random,
+        rng: random.Random,
         count: int,
     ) -> list[MemberRumour]:
         """Return rumours of random members, for VMs that missed their join.
@@ -300,7 +300,7 @@
         alive = [
             member for member in self.others() if member.state is State.ALIVE
         ]
-        chosen = chance.sample(alive, min(count, len(alive)))
+        chosen = rng.sample(alive, min(count, len(alive)))
         return [self.rumour_of(member) for member in chosen]
 
     def own_rumour(self) -> MemberRumour:
--- a/flamingovalve/membership/push.py
+++ b/flamingovalve/membership/push.py
@@ -34,7 +34,7 @@
     def __init__(
         self,
         members: MemberTable,
-        chance: random.Random,
+        rng: random.Random,
         send: Callable[[Member], Awaitable[None]],
     ) -> None:
         """Push to random ``members``.
@@ -42,7 +42,7 @@
         :param send: sends the queued rumours to one member
         """
         self._members = members
-        self._chance = chance
+        self._rng = rng
         self._send = send
         self._pushed_at = float('-inf')
         self._is_scheduled = False
@@ -77,5 +77,5 @@
             if member.state is not MemberState.DEAD
         ]
         count = min(_FANOUT, len(others))
-        for member in self._chance.sample(others, count):
+        for member in self._rng.sample(others, count):
             await self._send(member)
--- a/tests/rig/site_faults.py
+++ b/tests/rig/site_faults.py
@@ -29,7 +29,7 @@
 
     def __init__(self, seed: int) -> None:
         """Start the site."""
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.site = Site.started(_VMS, engines=2, slots=3)
         self.steps: Counter[str] = Counter()
         self.answers: list[tuple[str, curio.Task]] = []
@@ -43,12 +43,12 @@
         """Inject faults and send requests in random order, then settle."""
         faults = self.faults()
         for _step in range(steps):
-            for _request in range(self.chance.randrange(5)):
+            for _request in range(self.rng.randrange(5)):
                 self.ask()
-            fault = self.chance.choice(faults)
+            fault = self.rng.choice(faults)
             self.steps[fault.__name__] += 1
             fault()
-            self.advance(self.chance.uniform(0, _MAX_STEP_SECONDS))
+            self.advance(self.rng.uniform(0, _MAX_STEP_SECONDS))
         self.settle()
 
     def faults(self) -> list[Callable[[], None]]:
@@ -87,11 +87,11 @@
         """Send a completion or an order through a random VM."""
         if not self.running():
             return
-        vm_id = self.chance.choice(self.running())
-        if self.chance.random() < 1 / 3:
+        vm_id = self.rng.choice(self.running())
+        if self.rng.random() < 1 / 3:
             call = self.site.call('/orders/1')
         else:
-            adapter = self.chance.randrange(_ADAPTERS)
+            adapter = self.rng.randrange(_ADAPTERS)
             call = self.site.chat(f'a{adapter}')
         name = dict(call.headers)['Attempt-Id']
         self.steps['ask'] += 1
@@ -100,13 +100,13 @@
     def cut_vms(self) -> None:
         """Partition the fleet into two parts."""
         names = list(self.site.vms_by_id)
-        self.chance.shuffle(names)
-        count = self.chance.randrange(1, len(names))
+        self.rng.shuffle(names)
+        count = self.rng.randrange(1, len(names))
         self.site.links.partition(names[:count], names[count:])
 
     def cut_store(self) -> None:
         """Partition one VM from the store."""
-        vm_id = self.chance.choice(list(self.site.vms_by_id))
+        vm_id = self.rng.choice(list(self.site.vms_by_id))
         self.site.links.partition([vm_id], ['store'])
 
     def heal(self) -> None:
@@ -116,7 +116,7 @@
     def kill(self) -> None:
         """Kill the process of a VM."""
         if len(self.running()) > 1:
-            self.site.kill(self.chance.choice(self.running()))
+            self.site.kill(self.rng.choice(self.running()))
 
     def start(self) -> None:
         """Start the processes that were killed."""
@@ -127,7 +127,7 @@
     def pause(self) -> None:
         """Pause a process as SIGSTOP does."""
         if len(self.running()) > 1:
-            vm_id = self.chance.choice(self.running())
+            vm_id = self.rng.choice(self.running())
             self.site.vms_by_id[vm_id].node.paused = True
             self._paused.add(vm_id)
 
@@ -141,13 +141,13 @@
 
     def lose_orders(self) -> None:
         """Drop the next orders to an engine."""
-        engine = self.chance.choice(self.site.engines)
-        engine.dropped_orders = self.chance.randrange(3)
+        engine = self.rng.choice(self.site.engines)
+        engine.dropped_orders = self.rng.randrange(3)
 
     def slow_orders(self) -> None:
         """Delay the answers of an engine to orders."""
-        engine = self.chance.choice(self.site.engines)
-        engine.order_seconds = self.chance.choice((0.0, 0.1, 0.3))
+        engine = self.rng.choice(self.site.engines)
+        engine.order_seconds = self.rng.choice((0.0, 0.1, 0.3))
 
     def settle(self) -> None:
         """End all faults and wait for the site to recover."""
--- a/tests/rig/workspace_faults.py
+++ b/tests/rig/workspace_faults.py
@@ -61,24 +61,24 @@
     def isolate(self) -> None:
         """Partition one VM from the other VMs and the store."""
         vm_ids = list(self.site.vms_by_id)
-        vm_id = self.chance.choice(vm_ids)
+        vm_id = self.rng.choice(vm_ids)
         others = [other for other in vm_ids if other != vm_id]
         self.site.links.partition([vm_id], [*others, 'store'])
 
     def ask(self) -> None:
         """Send a batch of requests, some with revoked keys."""
-        seconds = self.chance.uniform(0, _MAX_BATCH_SECONDS)
+        seconds = self.rng.uniform(0, _MAX_BATCH_SECONDS)
         for _request in range(int(seconds / _REQUEST_INTERVAL_SECONDS)):
             if self.running():
                 self._send()
             self.advance(_REQUEST_INTERVAL_SECONDS)
-        if self.chance.random() < 1 / 3:
+        if self.rng.random() < 1 / 3:
             self.revoke_key()
 
     def revoke_key(self) -> None:
         """Revoke a random valid key."""
         valid_keys = [key for key in self._keys if not self._is_revoked(key)]
-        key = self.chance.choice(valid_keys)
+        key = self.rng.choice(valid_keys)
         self.revoked_at_by_key[key] = self.site.world.monotonic()
         self._publish()
 
@@ -107,12 +107,12 @@
 
     def _send(self) -> None:
         candidates = [*self._keys[:10], *self.revoked_at_by_key]
-        key = self.chance.choice(candidates)
+        key = self.rng.choice(candidates)
         call = self.site.call('/reads/1', Api_Key=key)
         request_id = dict(call.headers)['Attempt-Id']
         sent_at = self.site.world.monotonic()
         self.sent.append(SentRequest(request_id, key, sent_at))
-        self.site.begin(self.chance.choice(self.running()), call)
+        self.site.begin(self.rng.choice(self.running()), call)
 
     def _publish(self) -> None:
         valid_keys = [key for key in self._keys if not self._is_revoked(key)]
