--- a/flamingovalve/gateway/attempts.py
+++ b/flamingovalve/gateway/attempts.py
@@ -55,7 +55,7 @@
             return True
         return self._budget.take(request.service)
 
-    async def note(
+    async def record(
         self,
         request: InboundRequest,
         upstream: Upstream,
@@ -79,7 +79,7 @@
         )
         # In its own task, as detecting a crashed upstream may take a while.
         await curio.spawn(
-            self._quarantine.note,
+            self._quarantine.record,
             request,
             upstream,
             sent.outcome,
--- a/flamingovalve/gateway/calls.py
+++ b/flamingovalve/gateway/calls.py
@@ -80,7 +80,7 @@
         except BaseException:
             self._balancer.abandoned(upstream.id)
             raise
-        await self._attempts.note(request, upstream, sent)
+        await self._attempts.record(request, upstream, sent)
         if sent.outcome is Outcome.DONE:
             self._balancer.succeeded(upstream.id)
         else:
--- a/flamingovalve/gateway/completions.py
+++ b/flamingovalve/gateway/completions.py
@@ -103,7 +103,7 @@
             first_event = sent.first_event
         finally:
             await self._places.end(lease, outcome, first_event)
-        await self._attempts.note(request, upstream, sent)
+        await self._attempts.record(request, upstream, sent)
         return sent
 
     def _options_of(
--- a/flamingovalve/gateway/confirmation.py
+++ b/flamingovalve/gateway/confirmation.py
@@ -16,7 +16,7 @@
         """Create an object without any confirmation."""
         self._as_of = float('-inf')
 
-    def note(self, asked_at: float, age: float = 0) -> None:
+    def record(self, asked_at: float, age: float = 0) -> None:
         """Record a response after which the local configuration is current.
 
         :param asked_at: when the request was sent, by :func:`clock.boot`; the
--- a/flamingovalve/gateway/follower.py
+++ b/flamingovalve/gateway/follower.py
@@ -272,7 +272,7 @@
             reading.documents,
             reading.revision,
         )
-        self.confirmation.note(asked_at)
+        self.confirmation.record(asked_at)
         if changed:
             await self._notify_listeners()
 
@@ -287,7 +287,7 @@
             self._catalogue.apply_from_store(document, in_sequence=True)
             for document in reading.documents
         ]
-        self.confirmation.note(asked_at)
+        self.confirmation.record(asked_at)
         await self._notify_of_changes(changes)
         return bool(reading.documents)
 
@@ -323,7 +323,7 @@
             self._catalogue.apply(decompressed(document))
             for document in reply.documents
         ]
-        self.confirmation.note(asked_at, reply.confirmed_age)
+        self.confirmation.record(asked_at, reply.confirmed_age)
         await self._notify_of_changes(changes)
         return True
 
--- a/flamingovalve/gateway/group.py
+++ b/flamingovalve/gateway/group.py
@@ -111,7 +111,7 @@
             asked = self._requests_by_model.get(ask.model, 0)
             self._requests_by_model[ask.model] = asked + 1
         if ask.adapter:
-            self.popularity.note(ask.adapter)
+            self.popularity.record(ask.adapter)
 
     def ledgers(self) -> list[EngineLedger]:
         """Return the ledger of each engine."""
--- a/flamingovalve/gateway/learning.py
+++ b/flamingovalve/gateway/learning.py
@@ -47,7 +47,7 @@
         """Start with an initial estimate."""
         self.mean = initial
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Add one measured duration."""
         self.mean += (seconds - self.mean) * _SMOOTHING_FACTOR
 
--- a/flamingovalve/gateway/owner.py
+++ b/flamingovalve/gateway/owner.py
@@ -216,9 +216,9 @@
             failed = outcome is not PlaceOutcome.FINISHED
             engine.record_outcome(failed=failed)
         if outcome is PlaceOutcome.FINISHED:
-            self._queue.admission.holds.note(clock.now() - place.taken_at)
+            self._queue.admission.holds.record(clock.now() - place.taken_at)
         if first_event:
-            self._queue.admission.first_events.note(first_event)
+            self._queue.admission.first_events.record(first_event)
             engine.record_adapter_present(place.ask.adapter)
             engine.record_first_event(place, first_event)
         if outcome is PlaceOutcome.LOST:
--- a/flamingovalve/gateway/popularity.py
+++ b/flamingovalve/gateway/popularity.py
@@ -22,7 +22,7 @@
         """Start without requests."""
         self._by_name: dict[AdapterId, DecayingRate] = {}
 
-    def note(self, name: AdapterId) -> None:
+    def record(self, name: AdapterId) -> None:
         """Count one request for an adapter."""
         rate = self._by_name.pop(name, None)
         if rate is None:
--- a/flamingovalve/gateway/quarantine.py
+++ b/flamingovalve/gateway/quarantine.py
@@ -92,7 +92,7 @@
             retry_after=max(seconds_left, 0),
         )
 
-    async def note(
+    async def record(
         self,
         request: InboundRequest,
         upstream: Upstream,
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -202,7 +202,7 @@
         self.addCleanup(clock.restore_source)
         confirmation = Confirmation()
         self.assertEqual(confirmation.age(), float('inf'))
-        confirmation.note(clock.boot(), 0.5)
+        confirmation.record(clock.boot(), 0.5)
         boot_time[0] += 7
         self.assertEqual(confirmation.age(), 7.5)
 
@@ -210,8 +210,8 @@
         clock.replace_source(lambda: 1.0, lambda: 1.0, lambda: 100.0)
         self.addCleanup(clock.restore_source)
         confirmation = Confirmation()
-        confirmation.note(99)
-        confirmation.note(99.5, 3)
+        confirmation.record(99)
+        confirmation.record(99.5, 3)
         self.assertEqual(confirmation.age(), 1)
 
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -64,7 +64,7 @@
         engine = ledger('engine-0', *(f'a{n}' for n in range(SLOTS)))
         engine.held[AdapterId('a0')].uses = 1
         for number in range(2, SLOTS):
-            self.popularity.note(AdapterId(f'a{number}'))
+            self.popularity.record(AdapterId(f'a{number}'))
         choice = self.choose(ask('new'), engine)
         self.assertEqual(choice.victim.name, 'a1')
 
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -68,7 +68,7 @@
         for seconds in (0.05, 0.4, 5.0):
             holds = MeanSeconds(1)
             for _request in range(40):
-                holds.note(seconds)
+                holds.record(seconds)
             self.assertAlmostEqual(holds.mean, seconds, delta=seconds / 5)
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -56,7 +56,7 @@
         """Check a request on a VM and record the outcome of sending it."""
         attempt = request(body=body)
         vm.check(attempt)
-        curio.run(vm.note, attempt, upstream('engine-0'), outcome)
+        curio.run(vm.record, attempt, upstream('engine-0'), outcome)
 
     def test_fourth_upstream_does_not_get_the_request(self):
         """A caller retries a request that crashes upstreams through any VM.
