--- a/flamingovalve/gateway/adapter.py
+++ b/flamingovalve/gateway/adapter.py
@@ -42,7 +42,10 @@
         """Decode a request of ``route``."""
 
     def asked_domain(self, request: Request) -> DomainId | None:
-        """Return the domain of a caller that asks for addresses, else None."""
+        """Return the failure domain of a caller that asks for addresses.
+
+        :returns: ``None`` for any other request
+        """
 
     def error_response(self, error: ServingError) -> Response:
         """Build the response that reports an error to a caller."""
--- a/flamingovalve/gateway/admission.py
+++ b/flamingovalve/gateway/admission.py
@@ -20,9 +20,11 @@
     from flamingovalve.gateway.ledger import EngineLedger
     from flamingovalve.generated.messages import PlaceAsk
 
-# A wait beyond this share of the caller's patience mostly ends too late.
+# If the first event is expected after this share of the caller's patience, it
+# mostly comes too late.
 _MAX_WAIT_SHARE: Final = 0.7
-# The caller is back early enough for a first event within about the target.
+# A request that is retried when the prefill backlog has shrunk to this share of
+# the target gets its first event within about the target.
 _RETURN_TARGET_SHARE: Final = 0.7
 _MIN_RETRY_SECONDS: Final = 0.3
 _NO_ENGINE_RETRY_SECONDS: Final = 0.5
@@ -36,9 +38,9 @@
 class QueuePosition:
     """Position of a waiting request among the late or the timely requests.
 
-    :ivar ahead: number of requests of the same kind that are served first
-    :ivar is_late: whether the answer can no longer be in time; late requests
-        are served after all timely ones
+    :ivar ahead: number of those requests that are served before it
+    :ivar is_late: whether the request can no longer be answered in time; late
+        requests are served after all timely ones
     :ivar has_waiters: whether this or another request already waits there
     """
 
--- a/flamingovalve/gateway/attempts.py
+++ b/flamingovalve/gateway/attempts.py
@@ -24,7 +24,8 @@
 
 logger = get_logger(__name__)
 
-# Refusals cost an upstream nothing, but each retry uses the retry budget.
+# A refusal costs an upstream nothing, but the retry after it uses the retry
+# budget.
 MAX_SENDS: Final = 5
 
 # Mostly long enough for another upstream of the service to register.
@@ -39,7 +40,7 @@
         budget: FleetRetryBudget,
         quarantine: CrashQuarantine,
     ) -> None:
-        """Use retries of ``budget``; report attempts to ``quarantine``."""
+        """Take retries from ``budget``; report attempts to ``quarantine``."""
         self._budget = budget
         self._quarantine = quarantine
 
@@ -88,7 +89,7 @@
 
 
 def final_error(request: InboundRequest, outcome: Outcome) -> ServingError:
-    """Return the final error.
+    """Return the error for a request whose last attempt had ``outcome``.
 
     If an earlier attempt may have run the request, the error says so.
     """
--- a/flamingovalve/gateway/balancer.py
+++ b/flamingovalve/gateway/balancer.py
@@ -19,12 +19,14 @@
     from flamingovalve.gateway.model import Upstream
     from flamingovalve.generated.ids import DomainId, UpstreamId
 
-# An upstream that normally fails one call in seven stays well below this.
+# An upstream that normally fails one call in seven stays well below this. A
+# failing share of up to half of it costs nothing.
 _FAILING_SHARE: Final = 0.35
 _SMOOTHING_FACTOR: Final = 0.15
 # Two pauses of an unreachable upstream fit into the target of a call.
 _INITIAL_PAUSE_SECONDS: Final = 0.5
 _MAX_PAUSE_SECONDS: Final = 2.0
+# The unit of costs is one call in progress.
 _OTHER_DOMAIN_COST: Final = 0.2
 _FAILURE_COST: Final = 6.0
 
@@ -35,9 +37,9 @@
 
     :ivar under_way: calls in progress from this VM
     :ivar failing: exponentially weighted share of failed calls
-    :ivar unreachable: connection failures since the last success
-    :ivar avoided_until: end of the pause after a connection failure, on the
-        local clock
+    :ivar unreachable: connection failures and timeouts since the last success
+    :ivar avoided_until: end of the pause after the last of these, on the local
+        clock
     """
 
     under_way: int = 0
@@ -50,7 +52,7 @@
     """Distributes calls over the upstreams of a service."""
 
     def __init__(self, domain: DomainId, rng: random.Random) -> None:
-        """Prefer upstreams of ``domain`` if the rest is about equal."""
+        """Prefer upstreams of ``domain`` if the other costs are about equal."""
         self._domain = domain
         self._rng = rng
         self._stats_by_id: dict[UpstreamId, UpstreamStats] = {}
@@ -89,7 +91,10 @@
         stats.unreachable = 0
 
     def failed(self, upstream: UpstreamId, *, unreachable: bool) -> None:
-        """Record that a call failed; pause an unreachable upstream."""
+        """Record that a call failed; pause an unresponsive upstream.
+
+        :param unreachable: whether connecting failed or the response timed out
+        """
         stats = self._finish_call(upstream)
         stats.failing += (1 - stats.failing) * _SMOOTHING_FACTOR
         if unreachable:
--- a/flamingovalve/gateway/calls.py
+++ b/flamingovalve/gateway/calls.py
@@ -42,14 +42,14 @@
 
         :raises ServingError: if no upstream returned a response
         """
-        sent = await self._send_until_answered(request)
+        sent = await self._send_with_retries(request)
         if sent is None:
             raise no_upstream(request.service)
         if sent.response is None:
             raise final_error(request, sent.outcome)
         await responder.send(sent.response)
 
-    async def _send_until_answered(
+    async def _send_with_retries(
         self,
         request: InboundRequest,
     ) -> SendResult | None:
--- a/flamingovalve/gateway/completions.py
+++ b/flamingovalve/gateway/completions.py
@@ -57,14 +57,14 @@
     ) -> None:
         """Serve one completion.
 
-        :raises ServingError: if no engine completed it before the response
-            was started
+        :raises ServingError: if no place was granted in time or no engine
+            returned a response
         :raises ConnectionLost: if the stream broke and could not be resumed
         """
         resumable = request.route.repeat is RepeatPolicy.RESUMABLE
         sink = EventSink(responder, whole_events=resumable)
         place_ask = self._place_ask_of(request, completion)
-        sent = await self._send_until_answered(request, place_ask, sink)
+        sent = await self._send_with_retries(request, place_ask, sink)
         if sent.outcome is Outcome.DONE:
             await responder.end()
         elif sink.started:
@@ -74,7 +74,7 @@
         else:
             await responder.send(sent.response)
 
-    async def _send_until_answered(
+    async def _send_with_retries(
         self,
         request: InboundRequest,
         place_ask: PlaceAsk,
--- a/flamingovalve/gateway/confirmation.py
+++ b/flamingovalve/gateway/confirmation.py
@@ -17,7 +17,7 @@
         self._as_of = float('-inf')
 
     def record(self, asked_at: float, age: float = 0) -> None:
-        """Record a response after which the local configuration is current.
+        """Record a response that confirmed or updated the configuration.
 
         :param asked_at: when the request was sent, by :func:`clock.boot`; the
             time of receipt would understate the age
@@ -26,5 +26,5 @@
         self._as_of = max(self._as_of, asked_at - age)
 
     def age(self) -> float:
-        """Return the seconds since the last confirmation; infinite without."""
+        """Return the seconds since the last confirmation; infinite if none."""
         return clock.boot() - self._as_of
--- a/flamingovalve/gateway/daemon.py
+++ b/flamingovalve/gateway/daemon.py
@@ -67,8 +67,8 @@
 _GRACE_MARGIN_SECONDS: Final = 1.0
 _MAX_CLOSE_SECONDS: Final = 0.3
 _LEAVE_POLL_SECONDS: Final = 0.1
-# Connections queue for at most this long until the first configuration is
-# known.
+# Connections queue for at most this long until the first configuration and, if
+# there are seeds, another VM are known.
 _MAX_ACCEPT_DELAY_SECONDS: Final = 0.2
 _ACCEPT_POLL_SECONDS: Final = 0.01
 # Claims that are repeated in each probe, for VMs that have missed them.
@@ -91,7 +91,7 @@
 
         :param platform: adapter to the formats of the users' platform
         :param rng: source of random choices
-        :param started_at: start of this process in clock seconds; defaults to
+        :param started_at: start of this process on the local clock; defaults to
             the current time
         """
         self.started_at = clock.now() if started_at is None else started_at
@@ -135,7 +135,7 @@
         """Create a daemon from its settings.
 
         :param seed: seed of the random choices; None for a random seed
-        :param started_at: start of this process in clock seconds; defaults to
+        :param started_at: start of this process on the local clock; defaults to
             the current time
         """
         settings.vm.id = VmId(settings.vm.peer_address)
@@ -242,7 +242,7 @@
         )
         self.http = HttpServer(self.network, self.front.answer, limits)
         self.http.error_response = self.platform.error_response
-        side_answers = AuxiliaryEndpoints(
+        endpoints = AuxiliaryEndpoints(
             self.platform,
             self.directory,
             settings.gateway.address_seconds,
@@ -250,9 +250,7 @@
             functools.partial(state_of, self),
             lambda: self.is_ready,
         )
-        self.side = HttpServer(
-            self.network, side_answers.answer, LimitSettings()
-        )
+        self.side = HttpServer(self.network, endpoints.answer, LimitSettings())
         self.peer_server = PeerServer(self.network, settings, self.incarnation)
         place_server = PlaceServer(self.owned.find)
         on_session = self.peer_server.on_session
@@ -296,8 +294,8 @@
         self._side_sockets = [
             self.network.listen(address) for address in self._side_addresses()
         ]
-        peer = self.network.listen(settings.vm.peer_address)
-        await spawn(self.peer_server.serve, peer)
+        peer_socket = self.network.listen(settings.vm.peer_address)
+        await spawn(self.peer_server.serve, peer_socket)
 
     async def _accept_callers(self) -> None:
         """Accept callers once the fleet is known, or after a short delay.
@@ -311,8 +309,8 @@
                 await curio.sleep(_ACCEPT_POLL_SECONDS)
         spawn = self.background.spawn
         self._accepting = await spawn(self.http.serve, self._front_socket)
-        for opened in self._side_sockets:
-            await spawn(self.side.serve, opened)
+        for side_socket in self._side_sockets:
+            await spawn(self.side.serve, side_socket)
 
     def _is_fleet_known(self) -> bool:
         is_alone = not self.settings.fleet.seeds
@@ -331,7 +329,7 @@
     async def begin_leaving(self) -> None:
         """Announce that this VM leaves the fleet, then drain and stop it.
 
-        Connections are accepted for a short time more. Requests in progress
+        Connections are still accepted for a short time. Requests in progress
         may finish within the grace period.
         """
         if self.is_leaving:
--- a/flamingovalve/gateway/directory.py
+++ b/flamingovalve/gateway/directory.py
@@ -11,10 +11,10 @@
     from flamingovalve.generated.ids import DomainId
     from flamingovalve.membership.members import Member, MemberTable
 
-# Callers accept at most this many addresses in an answer.
+# Callers accept at most this many addresses in a response.
 _MAX_ADDRESSES: Final = 64
 # With fewer VMs in its failure domain, a caller that has lost one address could
-# have no alternative until its answer expires.
+# have no alternative until its response expires.
 _MIN_NEAR: Final = 3
 # Assumed number of cores of a VM that has not announced it.
 _DEFAULT_CORES: Final = 1.0
@@ -37,7 +37,10 @@
         self._max_near = max_near
 
     def addresses(self, domain: DomainId) -> list[str]:
-        """Return the addresses for a caller in ``domain``, best first."""
+        """Return the addresses for a caller in ``domain``.
+
+        If that domain has too few live VMs, those of all domains are returned.
+        """
         alive = [
             member
             for member in self._members.present()
@@ -48,8 +51,8 @@
         ]
         if len(near) >= _MIN_NEAR:
             return self._weighted_selection(domain, near)
-        named = [member.vm.http_address for member in alive]
-        return named[:_MAX_ADDRESSES]
+        listed = [member.vm.http_address for member in alive]
+        return listed[:_MAX_ADDRESSES]
 
     def _weighted_selection(
         self, domain: DomainId, near: list[Member]
--- a/flamingovalve/gateway/dispatch.py
+++ b/flamingovalve/gateway/dispatch.py
@@ -22,7 +22,7 @@
     from flamingovalve.gateway.popularity import Popularity
     from flamingovalve.generated.messages import PlaceAsk
 
-# Cost terms, as shares of the value of an answer in time: for a late answer,
+# Cost terms, as shares of the value of a timely response: for a late response,
 # for each second of waiting, for each request already in the batch.
 _LATE_COST: Final = 0.6
 _WAIT_COST_PER_SECOND: Final = 0.06
@@ -41,10 +41,12 @@
 _ACCEPTABLE_TARGET_SHARE: Final = 0.6
 # A queue of up to this share of the target is no reason to decline.
 _SHORT_QUEUE_SHARE: Final = 0.1
-# Divisor that ranks a model without engines above all models with engines.
+# Divisor that ranks a requested model without engines above those with engines.
 _NO_HOLDER_DIVISOR: Final = 0.01
 _MAX_EXPONENT: Final = 30.0
 _WAIT_SCATTER_SHARE: Final = 0.15
+# A request whose expected wait is this share of the target is as likely to be
+# late as in time.
 _EVEN_ODDS_SHARE: Final = 0.8
 
 
@@ -210,8 +212,9 @@
 ) -> ModelId:
     """Return the model with the highest demand; empty if there is none.
 
-    Used for engines that start without a model. A model that no engine holds
-    ranks highest, then the one with most requests per engine that holds it.
+    Used for engines that start without a model. A requested model that no
+    engine holds ranks highest, then the one with most requests per engine that
+    holds it.
 
     :param asked_by_model: number of requests for each model
     """
--- a/flamingovalve/gateway/engine.py
+++ b/flamingovalve/gateway/engine.py
@@ -36,7 +36,7 @@
 
 
 class EngineLink(Protocol):
-    """Sends requests for reports and orders to one engine."""
+    """Requests reports from one engine and sends it orders."""
 
     async def report(self) -> EngineReport | None:
         """Return the engine's report, or ``None`` if it does not answer."""
@@ -117,7 +117,7 @@
         self.ledger = ledger
         self._context = context
         self._link = link
-        self._ordering = curio.Lock()
+        self._order_lock = curio.Lock()
         self.waiting: dict[str, list[Waiter]] = {}
         self.report_now = curio.Event()
 
@@ -146,7 +146,7 @@
         """
         outcome = OrderOutcome.UNKNOWN
         try:
-            async with self._ordering:
+            async with self._order_lock:
                 outcome = await self._load(held, victim)
         finally:
             held.is_ordered = True
@@ -310,7 +310,7 @@
             logger.warning('upstream {} restarted', ledger.upstream.id)
             ledger.restart(report.born)
         ledger.born = report.born
-        foreign = ledger.chain.foreign
+        known_foreign = ledger.chain.foreign
         counted = ledger.chain.sequence or 0
         if ledger.chain.record_report(report):
             self._context.counts.foreign += 1
@@ -327,7 +327,7 @@
                 counted=counted,
                 reported=report.sequence,
             )
-        if ledger.chain.foreign != foreign:
+        if ledger.chain.foreign != known_foreign:
             ledger.fence = NO_FENCE
         await self._find_fence()
         ledger.adopt(report)
@@ -358,7 +358,7 @@
             return
         self.ledger.fetches_model = model not in self.ledger.at_hand
         self.ledger.model_ready_at = clock.now() + _MODEL_LOAD_TIMEOUT_SECONDS
-        async with self._ordering:
+        async with self._order_lock:
             outcome = await self._send(Action.LOAD, model, AdapterId(''), 0)
         if outcome in _LOAD_OUTCOMES:
             self.ledger.chain.record_accepted()
--- a/flamingovalve/gateway/fallback_placement.py
+++ b/flamingovalve/gateway/fallback_placement.py
@@ -39,7 +39,7 @@
 
 
 class FallbackPlacement:
-    """Chooses places by the reports of the engines."""
+    """Grants places according to the engines' own reports."""
 
     def __init__(
         self,
--- a/flamingovalve/gateway/fencing.py
+++ b/flamingovalve/gateway/fencing.py
@@ -5,7 +5,7 @@
 all known claims, which suffices while owners succeed each other. A partitioned
 VM may not know of an owner with a higher number. The store's revision is
 shared by all VMs and only grows, so a number derived from it after an engine
-was seen to obey another owner exceeds that owner's number.
+was seen to accept another owner's order exceeds that owner's number.
 
 Such a number is gossiped like a claim, so that the next owner exceeds it even
 while the store is unavailable.
@@ -27,8 +27,8 @@
 
     FreshRevision = Callable[[], Awaitable[int | None]]
 
-# Low bits of a fencing number that identify its VM.
-_FENCE_BITS: Final = 24
+# Number of low bits of a fencing number that identify its VM.
+_VM_BITS: Final = 24
 # Placeholder while no fencing number is known; no order may carry it.
 NO_FENCE: Final = 0
 # Pause after a failed query of the store. Without it, each engine of a group
@@ -46,7 +46,7 @@
     number = 0
     for part in host.split('.')[1:]:
         number = number << 8 | int(part)
-    return epoch << _FENCE_BITS | number
+    return epoch << _VM_BITS | number
 
 
 class Fences:
