--- a/flamingovalve/cmd/tables.py
+++ b/flamingovalve/cmd/tables.py
@@ -48,7 +48,7 @@
             vm_id,
             member['state'],
             'yes' if member['present'] else 'no',
-            'direct' if member['direct_path'] else 'indirect',
+            'direct' if member['direct_path'] else 'through others',
         )
         for vm_id, member in state['members'].items()
     )
