--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -149,7 +149,7 @@
             if self.dropped_orders:
                 self.dropped_orders -= 1
                 raise ConnectionLost('the order is lost')
-            status = await self.obey(request.json_object())
+            status = await self.execute_order(request.json_object())
             await responder.send(Response(status))
         else:
             await super().answer(request, responder)
@@ -171,7 +171,7 @@
             'born': 1,
         }
 
-    async def obey(self, order: dict[str, Any]) -> int:
+    async def execute_order(self, order: dict[str, Any]) -> int:
         """Execute an order and return the HTTP status of its response."""
         name = order.get('Adapter', '')
         if name in self.loading:
--- a/tests/test_site_faults.py
+++ b/tests/test_site_faults.py
@@ -80,14 +80,16 @@
     def test_engine_that_is_ordered_without_its_count(self):
         """An engine accepts any order, whatever count it names."""
 
-        async def obey_all(engine, order):
-            return await obey(
+        async def execute_any(engine, order):
+            return await execute_order(
                 engine, {**order, 'Precondition': engine.sequence}
             )
 
-        obey = PlatformEngineStandIn.obey
+        execute_order = PlatformEngineStandIn.execute_order
         found = self.find(
-            mock.patch.object(PlatformEngineStandIn, 'obey', obey_all),
+            mock.patch.object(
+                PlatformEngineStandIn, 'execute_order', execute_any
+            ),
         )
         self.assertNotEqual(found, [])
 
