--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: each prints a table of figures from runs it has just made."""
+"""Benchmarks, each of which prints a table of figures from its own runs."""
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,7 @@
 """Measures the slopes in docs/CAPACITY.md: ``make capacity``.
 
-Prints, for each figure on that page, the measurements, their range, the
-fitted line with its error, and the extrapolation to the target size.
+Prints, for each figure on that page, what is measured, the range of sizes,
+the fitted line with its error, and the value at the target size.
 """
 
 from __future__ import annotations
@@ -75,8 +75,8 @@
                 f'{fit.at(target) / 1e6:.2f}',
             ),
         )
-    head = ('MEMORY', 'RANGE', 'BYTES EACH', 'WORST MISS', 'MB AT TARGET')
-    print(table(head, rows))
+    headings = ('MEMORY', 'RANGE', 'BYTES EACH', 'WORST MISS', 'MB AT TARGET')
+    print(table(headings, rows))
     print()
 
 
--- a/benchmarks/owner_cost.py
+++ b/benchmarks/owner_cost.py
@@ -86,8 +86,8 @@
             (6, 108, 0),
         )
     ]
-    head = ('ENGINES', 'SLOTS', 'WAITING', 'MICROSECONDS A PLACE')
-    print(table(head, rows))
+    headings = ('ENGINES', 'SLOTS', 'WAITING', 'MICROSECONDS A PLACE')
+    print(table(headings, rows))
 
 
 async def _measure(engines: int, slots: int, waiting: int) -> float:
--- a/benchmarks/quota_policies.py
+++ b/benchmarks/quota_policies.py
@@ -243,8 +243,8 @@
                         f'{lost:.2f}',
                     ]
                 )
-    heads = ['load', 'serving VMs', 'policy', 'worst window', 'loss']
-    print(table(heads, rows))
+    headings = ['load', 'serving VMs', 'policy', 'worst window', 'loss']
+    print(table(headings, rows))
 
 
 if __name__ == '__main__':
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -188,8 +188,15 @@
         measure('owner', owner, unstreamed_call, REQUESTS, 1),
         measure('other VM', other, unstreamed_call, REQUESTS, 1),
     ]
-    head = ('WHOLE ANSWERS', 'P50 MS', 'P99 MS', 'P50 X', 'P99 X', 'REQUESTS/S')
-    print(table(head, [timing.row(timings[0]) for timing in timings]))
+    headings = (
+        'WHOLE ANSWERS',
+        'P50 MS',
+        'P99 MS',
+        'P50 X',
+        'P99 X',
+        'REQUESTS/S',
+    )
+    print(table(headings, [timing.row(timings[0]) for timing in timings]))
     print()
 
 
@@ -225,8 +232,8 @@
                 f'{1 / daemon_seconds:.0f}',
             ),
         )
-    head = ('ONE CORE', 'OURS US', 'BARE US', 'RATIO', 'PER SECOND')
-    print(table(head, rows))
+    headings = ('ONE CORE', 'OURS US', 'BARE US', 'RATIO', 'PER SECOND')
+    print(table(headings, rows))
     print(f'resident memory: {resident_bytes(pid) / 1e6:.0f} MB')
 
 
@@ -254,8 +261,8 @@
         if claimed:
             query = f'service=orders&call={name}&application={APPLICATION}'
             entry = UpstreamCall('GET', f'/v1/entry?{query}', [])
-            answer = await pool.exchange(address, entry, 10)
-            permit = json.loads(answer.body)['permit']
+            entry_response = await pool.exchange(address, entry, 10)
+            permit = json.loads(entry_response.body)['permit']
             headers.append(('idempotency-key', permit))
         call = UpstreamCall.from_json(
             'POST',
--- a/demo/load.py
+++ b/demo/load.py
@@ -46,7 +46,7 @@
     seconds: list[float] = field(default_factory=list)
 
     def percentile(self, share: float) -> float:
-        """Return the response time that ``share`` of the requests met."""
+        """Return the response time that ``share`` of requests did not exceed."""
         ordered = sorted(self.seconds)
         return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
 
@@ -151,11 +151,11 @@
             UpstreamCall('GET', target, []),
             _TIMEOUT_SECONDS,
         )
-        answer: dict[str, Any] = json.loads(response.body)
+        entry: dict[str, Any] = json.loads(response.body)
         if response.status != 200:
-            raise ConnectionLost(str(answer))
-        addresses: list[str] = answer['addresses']
-        expires_at = clock.now() + answer['ttl_seconds']
+            raise ConnectionLost(str(entry))
+        addresses: list[str] = entry['addresses']
+        expires_at = clock.now() + entry['ttl_seconds']
         self._cached_addresses[name] = (expires_at, addresses)
         return addresses
 
@@ -176,6 +176,6 @@
 
 
 def _is_correct(response: Response, name: str) -> bool:
-    answer = json.loads(response.body)
-    text: str = answer['choices'][0]['message']['content']
-    return answer['model'] == f'{name}@2' and text.startswith(f'{name}@2/')
+    content = json.loads(response.body)
+    text: str = content['choices'][0]['message']['content']
+    return content['model'] == f'{name}@2' and text.startswith(f'{name}@2/')
--- a/demo/run.py
+++ b/demo/run.py
@@ -62,7 +62,7 @@
             rows.append((shape.name, *row))
             all_passed &= passed
             all_passed &= _show_payment(fleet)
-    head = (
+    headings = (
         'DEPLOYMENT',
         'REQUESTS',
         'RIGHT',
@@ -74,7 +74,7 @@
         'NEW OWNER S',
     )
     print()
-    print(table(head, rows))
+    print(table(headings, rows))
     print('all is well' if all_passed else 'SOMETHING WENT WRONG')
     return 0 if all_passed else 1
 
@@ -123,7 +123,7 @@
 
 
 class Takeover(threading.Thread):
-    """Kills an owner under load and measures until its engines have owners.
+    """Kills an owner under load and times the takeover of its engines.
 
     :ivar seconds: time from the signal to the first poll that finds an owner
         for every engine; infinite if none does
@@ -153,15 +153,15 @@
     query = f'service=orders&call=pay&application={APPLICATION}'
     entry = get_json(ready_vms[0].http_address, f'/v1/entry?{query}')
     assert entry is not None
-    answers = [
+    responses = [
         _pay(vm.http_address, entry['permit'])
         for vm in (*ready_vms[:3], ready_vms[0])
     ]
     runs = sum(
         _runs(address, entry['permit']) for address in fleet.service_addresses
     )
-    print(f'one payment sent {len(answers)} times through 3 VMs: ran {runs}x')
-    return runs == 1 and len(set(answers)) == 1
+    print(f'one payment sent {len(responses)} times through 3 VMs: ran {runs}x')
+    return runs == 1 and len(set(responses)) == 1
 
 
 def _pay(address: str, permit: str) -> bytes:
@@ -175,16 +175,16 @@
         },
     )
     try:
-        with http_request.urlopen(request, timeout=30) as answered:
-            return answered.read()
+        with http_request.urlopen(request, timeout=30) as response:
+            return response.read()
     except http_error.HTTPError as error:
         return error.read()
 
 
 def _runs(address: str, _permit: str) -> int:
     request = http_request.Request(f'http://{address}/control', b'{}')
-    with http_request.urlopen(request, timeout=10) as answered:
-        return json.load(answered)['runs']
+    with http_request.urlopen(request, timeout=10) as response:
+        return json.load(response)['runs']
 
 
 if __name__ == '__main__':
--- a/flamingovalve/cmd/account.py
+++ b/flamingovalve/cmd/account.py
@@ -22,7 +22,7 @@
 EXIT_UNREADABLE = 1
 
 _STANDARD_INPUT = '-'
-# A request has about ten lines, but a value that is not a request id may
+# A request has about ten log lines, but a value that is not a request id may
 # occur in every line.
 _MAX_REQUEST_LINES = 10_000
 
--- a/flamingovalve/cmd/flamingovalve.py
+++ b/flamingovalve/cmd/flamingovalve.py
@@ -108,15 +108,15 @@
             query = f'{query}&service={self.service}&call={self.call}'
         else:
             query = f'{query}&model={self.model}'
-        answer = ask_json(
+        entry = ask_json(
             self.address, UpstreamCall('GET', f'/v1/entry?{query}', [])
         )
         if self.json:
-            print(json.dumps(answer))
+            print(json.dumps(entry))
             return
-        for address in answer['addresses']:
+        for address in entry['addresses']:
             print(address)
-        permit = answer.get('permit')
+        permit = entry.get('permit')
         if permit is not None:
             print(f'permit {permit}')
 
@@ -137,7 +137,7 @@
     json: AsJson = False
 
     def __call__(self) -> None:
-        """Print the text of the answer, or the whole answer as JSON."""
+        """Print the generated text, or the whole response as JSON."""
         content = {
             'model': self.model,
             'messages': [{'role': 'user', 'content': self.prompt}],
@@ -149,12 +149,12 @@
             content,
             headers,
         )
-        answer = ask_json(self.address, call)
+        completion = ask_json(self.address, call)
         if self.json:
-            print(json.dumps(answer))
+            print(json.dumps(completion))
             return
-        print(answer['choices'][0]['message']['content'])
-        print(f'({answer["model"]})', file=sys.stderr)
+        print(completion['choices'][0]['message']['content'])
+        print(f'({completion["model"]})', file=sys.stderr)
 
 
 @dataclass
@@ -205,8 +205,8 @@
     except OSError as failed:
         return [Fault(str(path), str(failed), 'use a readable file')]
     if b'"vms"' in content:
-        listed = parse_vm_list(content)
-        return listed.error if listed.is_error() else []
+        vm_list = parse_vm_list(content)
+        return vm_list.error if vm_list.is_error() else []
     return _check_inventory(path, content)
 
 
@@ -219,17 +219,17 @@
     for reference in manifest.ok.pages:
         page_path = path.parent / Path(reference.key).name
         try:
-            text = page_path.read_bytes()
+            page_content = page_path.read_bytes()
         except OSError as failed:
             fault = Fault(str(page_path), str(failed), 'export the page')
             faults.append(fault)
             continue
-        if hashlib.sha256(text).hexdigest() != reference.sha256:
+        if hashlib.sha256(page_content).hexdigest() != reference.sha256:
             remedy = 'export the pages before the manifest'
             faults.append(
                 Fault(str(page_path), 'does not match its digest', remedy)
             )
-        page = parse_page(text, str(page_path))
+        page = parse_page(page_content, str(page_path))
         if page.is_error():
             faults.extend(page.error)
         else:
@@ -241,18 +241,18 @@
 
 
 def ask_json(address: str, call: UpstreamCall) -> dict[str, Any]:
-    """Make one call and return its JSON answer, or exit with an error."""
+    """Make one call and return its JSON response, or exit with an error."""
     try:
         response = curio.run(_exchange, address, call)
     except (OSError, ConnectionLost, ValueError) as failed:
         message = f'{address}: {failed or "cannot be reached"}'
         raise cappa.Exit(message, code=EXIT_UNREACHABLE) from failed
-    answer = json.loads(response.body)
+    content = json.loads(response.body)
     if response.status >= HTTPStatus.BAD_REQUEST:
-        error = answer.get('error', {})
+        error = content.get('error', {})
         message = f'{error.get("type")}: {error.get("message")}'
         raise cappa.Exit(message, code=EXIT_REFUSED)
-    return answer
+    return content
 
 
 async def _exchange(address: str, call: UpstreamCall) -> Response:
--- a/flamingovalve/config/inventory.py
+++ b/flamingovalve/config/inventory.py
@@ -135,8 +135,8 @@
         if service is None:
             return Error(_unknown_service(service_id))
         if application.id not in service.applications:
-            place = f'service {service_id!r}'
-            return Error(_not_allowed(application.id, place))
+            resource = f'service {service_id!r}'
+            return Error(_not_allowed(application.id, resource))
         for call in service.calls:
             if call.id == call_id:
                 return Ok((service, call))
@@ -324,10 +324,10 @@
     )
 
 
-def _not_allowed(application: str, place: str) -> ServingError:
+def _not_allowed(application: str, resource: str) -> ServingError:
     return ServingError(
         ErrorKind.APPLICATION_NOT_ALLOWED,
-        f'application {application!r} may not use {place}; add it to the '
+        f'application {application!r} may not use {resource}; add it to the '
         'applications of that entry in the inventory',
     )
 
--- a/flamingovalve/config/keeper.py
+++ b/flamingovalve/config/keeper.py
@@ -208,10 +208,10 @@
         await self._attempt(self._fetch_newer(rumour, origin))
 
     def is_outdated_by(self, rumour: VersionRumour) -> bool:
-        """Return whether a rumour announces versions newer than ours."""
+        """Return whether a rumour announces newer versions than are held."""
         own = self.own_rumour()
-        newer_list = rumour.list_revision > own.list_revision
-        return rumour.version > own.version or newer_list
+        has_newer_list = rumour.list_revision > own.list_revision
+        return rumour.version > own.version or has_newer_list
 
     async def _fetch_newer(
         self,
--- a/flamingovalve/config/service.py
+++ b/flamingovalve/config/service.py
@@ -17,7 +17,7 @@
 
 
 class ServiceUnavailable(Exception):
-    """The configuration service or a peer gave no usable answer."""
+    """The configuration service or a peer sent no usable value."""
 
 
 @dataclass(slots=True)
@@ -57,7 +57,7 @@
 
         :returns: the new value, or None if the revision did not change
             within ``watch_seconds``
-        :raises ServiceUnavailable: when the service does not answer
+        :raises ServiceUnavailable: when the service sends no valid response
         """
         wait = self._settings.watch_seconds
         target = f'/v1/keys/{key}?after={revision}&wait={wait:g}'
--- a/flamingovalve/daemon.py
+++ b/flamingovalve/daemon.py
@@ -105,7 +105,7 @@
     ) -> Self:
         """Build the daemon of ``settings``.
 
-        :param seed: of all random choices; ``None`` for an unpredictable one
+        :param seed: seed of all random choices; ``None`` for an unpredictable one
         """
         incarnation = Incarnation(int(clock.wall() * _MICROSECONDS))
         return cls(settings, network, random.Random(seed), incarnation)
@@ -410,7 +410,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Return whether this VM has a configuration."""
+        """Whether this VM has accepted a configuration."""
         return self.keeper.is_ready
 
     def state_dump(self) -> dict[str, Any]:
--- a/flamingovalve/errors.py
+++ b/flamingovalve/errors.py
@@ -143,7 +143,7 @@
 
 
 class StoreUnavailable(Exception):
-    """The platform's store gave no usable answer; retry later."""
+    """The platform's store sent no usable response; retry later."""
 
 
 class HistoryGone(Exception):
--- a/flamingovalve/platform/decode.py
+++ b/flamingovalve/platform/decode.py
@@ -109,7 +109,7 @@
     return model.Configuration(
         _integer(raw['Version']),
         {
-            host: tuple(sorted(routes, key=_prefix_order))
+            host: tuple(sorted(routes, key=_longest_prefix_first))
             for host, routes in by_host.items()
         },
         {service.name: service for service in services},
@@ -119,7 +119,7 @@
     )
 
 
-def _prefix_order(route: model.Route) -> int:
+def _longest_prefix_first(route: model.Route) -> int:
     return -len(route.prefix)
 
 
--- a/flamingovalve/platform/ingress.py
+++ b/flamingovalve/platform/ingress.py
@@ -16,12 +16,12 @@
     from flamingovalve.gateway.model import Route
     from flamingovalve.http.messages import HeaderList, Request
 
-_ID: Final = 'attempt-id'
-_BUDGET: Final = 'time-budget-ms'
-_MODEL: Final = 'model'
-_TOKENS: Final = 'token-counts'
-_PREFIX: Final = 'prompt-prefix'
-_KEY: Final = 'api-key'
+_ID_HEADER: Final = 'attempt-id'
+_BUDGET_HEADER: Final = 'time-budget-ms'
+_MODEL_HEADER: Final = 'model'
+_TOKENS_HEADER: Final = 'token-counts'
+_PREFIX_HEADER: Final = 'prompt-prefix'
+_KEY_HEADER: Final = 'api-key'
 # Width of token counts in messages between VMs.
 _COUNT_BITS: Final = 32
 _MAX_TOKENS: Final = 2**_COUNT_BITS - 1
@@ -34,7 +34,7 @@
 # workspace. API keys are not forwarded to upstreams.
 _INTERNAL_HEADERS: Final = frozenset(
     (
-        _KEY,
+        _KEY_HEADER,
         'expect-instance',
         'expect-version',
         'hold',
@@ -56,7 +56,7 @@
 
 def request_id(request: Request) -> str:
     """Return the ID that the caller gave a request."""
-    return request.headers.get(_ID, '')
+    return request.headers.get(_ID_HEADER, '')
 
 
 def key_of(request: Request) -> bytes:
@@ -65,11 +65,15 @@
     :raises ServingError: when the header is repeated, as another component
         could use a different one of the keys
     """
-    keys = [text for name, text in request.header_lines if name.lower() == _KEY]
+    keys = [
+        text
+        for name, text in request.header_lines
+        if name.lower() == _KEY_HEADER
+    ]
     if len(keys) > 1:
         raise ServingError(
             ErrorKind.MALFORMED_REQUEST,
-            f'header {_KEY} occurs {len(keys)} times; send it once',
+            f'header {_KEY_HEADER} occurs {len(keys)} times; send it once',
         )
     return keys[0].encode('latin-1') if keys else b''
 
@@ -120,13 +124,13 @@
 
 
 def _time_budget(request: Request, route: Route) -> float:
-    text = request.headers.get(_BUDGET)
+    text = request.headers.get(_BUDGET_HEADER)
     if text is None:
         return route.timeout
     try:
         return max(0, float(text)) / _MS_PER_SECOND
     except ValueError as bad:
-        raise _malformed(_BUDGET, text) from bad
+        raise _malformed(_BUDGET_HEADER, text) from bad
 
 
 def _forwarded_headers(lines: HeaderList) -> HeaderList:
@@ -139,17 +143,17 @@
 
 def _completion(request: Request) -> Completion | None:
     headers = request.headers
-    requested_model = headers.get(_MODEL)
+    requested_model = headers.get(_MODEL_HEADER)
     if requested_model is None:
         return None
     model, _slash, adapter = requested_model.partition('/')
-    prompt, output = _token_counts(headers.get(_TOKENS, '0,0'))
+    prompt, output = _token_counts(headers.get(_TOKENS_HEADER, '0,0'))
     return Completion(
         ModelId(model),
         AdapterId(adapter),
         prompt,
         output,
-        _prompt_parts(headers.get(_PREFIX, '')),
+        _prompt_parts(headers.get(_PREFIX_HEADER, '')),
     )
 
 
@@ -157,14 +161,14 @@
     try:
         prompt, output = (int(part) for part in text.split(','))
     except ValueError as bad:
-        raise _malformed(_TOKENS, text) from bad
+        raise _malformed(_TOKENS_HEADER, text) from bad
     if not all(0 <= count <= _MAX_TOKENS for count in (prompt, output)):
-        raise _malformed(_TOKENS, text)
+        raise _malformed(_TOKENS_HEADER, text)
     return prompt, output
 
 
 def _total_tokens(request: Request) -> int | None:
-    text = request.headers.get(_TOKENS)
+    text = request.headers.get(_TOKENS_HEADER)
     return None if text is None else sum(_token_counts(text))
 
 
@@ -173,7 +177,7 @@
         pairs = [entry.split(':') for entry in text.split(',') if entry]
         return [PromptPart(name.strip(), int(size)) for name, size in pairs]
     except ValueError as bad:
-        raise _malformed(_PREFIX, text) from bad
+        raise _malformed(_PREFIX_HEADER, text) from bad
 
 
 def _malformed(name: str, text: str) -> ServingError:
--- a/flamingovalve/platform/store.py
+++ b/flamingovalve/platform/store.py
@@ -20,8 +20,8 @@
 if TYPE_CHECKING:
     from flamingovalve.http.client import ConnectionPool
 
-_OK: Final = 200
-_GONE: Final = 410
+_STATUS_OK: Final = 200
+_STATUS_GONE: Final = 410
 _MS_PER_SECOND: Final = 1000
 
 # Long enough for a slow store.
@@ -32,7 +32,8 @@
 _REVISION_SECONDS: Final = 0.4
 # Matches no key, so that the response holds only the revision.
 _NO_ITEMS: Final = '!'
-# The bound that the platform publishes for a page.
+# Bound on the pages of one reading; the platform publishes this number as the
+# bound of a page.
 _MAX_PAGES: Final = 200
 
 
@@ -59,7 +60,7 @@
         The pages are not one snapshot: a watch from the revision of the
         first page reports what changes while later pages are read.
 
-        :raises StoreUnavailable: when the store gives no valid answer
+        :raises StoreUnavailable: when the store sends no valid response
         """
         after, first_revision, documents = '', 0, []
         for _page in range(_MAX_PAGES):
@@ -77,7 +78,7 @@
     async def revision(self) -> int:
         """Return the current revision of the store.
 
-        :raises StoreUnavailable: when the store gives no valid answer
+        :raises StoreUnavailable: when the store sends no valid response
         """
         query = {'PathPrefix': _NO_ITEMS}
         return _parse_revision(
@@ -89,7 +90,7 @@
 
         :param seconds: timeout, after which the reading is empty
         :raises HistoryGone: when the store has dropped that history
-        :raises StoreUnavailable: when the store gives no valid answer
+        :raises StoreUnavailable: when the store sends no valid response
         """
         query = {
             'PathPrefix': prefix,
@@ -119,9 +120,9 @@
             # Other pooled connections use the same path and may be dead too.
             await self._pool.drop(self._address)
             raise StoreUnavailable(f'{path}: {failed!r}') from failed
-        if response.status == _GONE:
+        if response.status == _STATUS_GONE:
             raise HistoryGone(path)
-        if response.status != _OK:
+        if response.status != _STATUS_OK:
             raise StoreUnavailable(f'{path}: status {response.status}')
         try:
             return decode.json_object(response.body)
--- a/flamingovalve/platform/upstreams.py
+++ b/flamingovalve/platform/upstreams.py
@@ -28,10 +28,10 @@
 _ORDER_SECONDS: Final = 0.6
 _MS_PER_SECOND: Final = 1000
 _MAX_PRIORITY: Final = 9
-_OK: Final = 200
+_STATUS_OK: Final = 200
 _FIRST_SUCCESS: Final = 200
 _LAST_SUCCESS: Final = 299
-_MISDIRECTED: Final = 421
+_STATUS_MISDIRECTED: Final = 421
 _RESUME_HEADER: Final = 'last-event-id'
 
 
@@ -79,7 +79,7 @@
         headers = head.headers
         if headers.get('attempt-id', request.id) != request.id:
             return Verdict.OTHER_REQUEST
-        if 'not-executed' in headers or head.status == _MISDIRECTED:
+        if 'not-executed' in headers or head.status == _STATUS_MISDIRECTED:
             return Verdict.NOT_RUN
         if 'response-seal' not in headers or 'content-encoding' in headers:
             return Verdict.UNSIGNED
@@ -116,7 +116,7 @@
             )
         except (OSError, ConnectionLost):
             return None
-        if response.status != _OK:
+        if response.status != _STATUS_OK:
             return None
         try:
             return _report(response.body)
--- a/flamingovalve/util/authentication.py
+++ b/flamingovalve/util/authentication.py
@@ -66,7 +66,7 @@
 class ReplayWindow:
     """Accepts each sequence number of one sender once.
 
-    A replayed datagram carries a valid code, so that old rumours or
+    A replayed datagram carries a valid code, so old rumours or
     acknowledgements would otherwise count as new. Numbers too far below the
     highest one are refused because the window no longer covers them.
     """
--- a/flamingovalve/util/lines.py
+++ b/flamingovalve/util/lines.py
@@ -44,7 +44,7 @@
         try:
             os.write(self._descriptor, encoded)
         except OSError:
-            # The pipe is full or its reader has closed it. Nothing better
-            # can report this than the count that is written later.
+            # The pipe is full or its reader has closed it. Only the count
+            # that is written later can report this.
             return False
         return True
--- a/flamingovalve/util/listeners.py
+++ b/flamingovalve/util/listeners.py
@@ -1,7 +1,7 @@
 """Listening sockets that are opened before a daemon loads its libraries.
 
-Imports only modules of the standard library for sockets, so that the ports
-open within milliseconds of the start of a process.
+Imports only the socket module and other small modules of the standard
+library, so that the ports open within milliseconds of the start of a process.
 """
 
 from __future__ import annotations
--- a/flamingovalve/util/logs.py
+++ b/flamingovalve/util/logs.py
@@ -33,7 +33,7 @@
 
 
 def note(logger: logbook.Logger, event: str, **facts: Any) -> None:
-    """Log one decision as ``event`` with the ``facts`` behind it."""
+    """Log one decision as ``event`` with the ``facts`` that led to it."""
     logger.info(event, extra=facts)
 
 
--- a/flamingovalve/util/network.py
+++ b/flamingovalve/util/network.py
@@ -34,9 +34,11 @@
         try:
             async with curio.timeout_after(seconds):
                 await opened.connect(split_address(address))
-        except curio.TaskTimeout as late:
+        except curio.TaskTimeout as timeout:
             await self.discard(opened)
-            raise TimeoutError(f'connecting to {address} timed out') from late
+            raise TimeoutError(
+                f'connecting to {address} timed out'
+            ) from timeout
         except BaseException:
             await self.discard(opened)
             raise
@@ -46,8 +48,8 @@
     async def refuses_connections(self, address: str, seconds: float) -> bool:
         """Return whether ``address`` refuses connections.
 
-        A timeout may be caused by the network. A refused connection is an
-        answer of the machine itself: nothing listens there any more.
+        A timeout may be caused by the network. A refusal comes from the
+        machine itself: nothing listens there any more.
         """
         try:
             opened = await self.connect(address, seconds)
@@ -95,7 +97,7 @@
 
 
 def _peek(opened: Socket) -> bytes | None:
-    """Return unread data; empty at end of file, ``None`` if none came."""
+    """Return unread data; empty at end of file, ``None`` if there is none."""
     if opened.fileno() < 0:
         return b''
     try:
--- a/flamingovalve/util/rates.py
+++ b/flamingovalve/util/rates.py
@@ -90,7 +90,7 @@
         self.deviation = initial_estimate / 2
 
     def add(self, seconds: float) -> None:
-        """Take one measured duration into account."""
+        """Update the estimate with one measured duration."""
         error = seconds - self.mean
         self.mean += error / 8
         self.deviation += (abs(error) - self.deviation) / 4
--- a/standins/configuration_service.py
+++ b/standins/configuration_service.py
@@ -39,7 +39,7 @@
     """Serves values; can be down, stale, slow or return invalid JSON.
 
     :ivar down: whether to drop every connection
-    :ivar sends_invalid_json: whether to answer with bytes that are not JSON
+    :ivar sends_invalid_json: whether to send values that are not JSON
     :ivar slow_seconds: delay before each response
     """
 
--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -76,7 +76,7 @@
         await curio.sleep(self.run_seconds)
         if self.lose_answers:
             self.lose_answers -= 1
-            raise ConnectionLost('the answer is lost')
+            raise ConnectionLost('the response is lost')
         status = 200
         if self.failures:
             self.failures -= 1
@@ -106,9 +106,10 @@
     :ivar accepted: every order that was not refused, including one for an
         adapter that was already loading
     :ivar refused_orders: number of orders refused because the adapter is
-        unknown or the order names a version that may not be named
+        unknown, or because they name a version and ``refuses_versions`` is
+        set
     :ivar refuses_versions: whether to refuse orders that name a version
-    :ivar order_seconds: delay before an order is answered
+    :ivar order_seconds: delay before an order is executed
     :ivar dropped_orders: number of next orders to drop
     :ivar crashes: number of load orders that exceeded the adapter slots
     :ivar break_after: number of events after which the next run is broken
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -24,7 +24,7 @@
     It holds what operators and upstreams publish.
 
     :ivar refusal: status with which every call is refused; 0 for none
-    :ivar oldest: watches that start below this revision are answered 410
+    :ivar oldest: watches that start below this revision get status 410
         because their history has been compacted
     """
 
