--- a/standins/plain_service.py
+++ b/standins/plain_service.py
@@ -37,7 +37,7 @@
         self.drop_after_run = 0
 
     def statistics(self) -> dict[str, Any]:
-        """Return the number of keys and of runs."""
+        """Return the numbers of keys, of runs and the most runs of one key."""
         return {
             'keys': len(self.runs_by_key),
             'runs': sum(self.runs_by_key.values()),
