--- a/flamingovalve/gateway/gossip_handlers.py
+++ b/flamingovalve/gateway/gossip_handlers.py
@@ -61,12 +61,15 @@
 
     @apply_rumour.register
     async def _owner(self, rumour: OwnerRumour) -> Dissemination:
-        before = self._claims.owner(rumour.group)
-        news = self._claims.apply_rumour(rumour)
-        if news is not Dissemination.NONE and before != rumour.vm:
+        previous_owner = self._claims.owner(rumour.group)
+        dissemination = self._claims.apply_rumour(rumour)
+        if (
+            dissemination is not Dissemination.NONE
+            and previous_owner != rumour.vm
+        ):
             await self._background.spawn(
                 self._places.notify_new_owner,
                 rumour.group,
                 rumour.vm,
             )
-        return news
+        return dissemination
--- a/flamingovalve/gateway/group.py
+++ b/flamingovalve/gateway/group.py
@@ -108,8 +108,8 @@
     def record_request(self, ask: PlaceAsk) -> None:
         """Count a request towards the popularity of its model and adapter."""
         if ask.model in self._models():
-            asked = self._requests_by_model.get(ask.model, 0)
-            self._requests_by_model[ask.model] = asked + 1
+            count = self._requests_by_model.get(ask.model, 0)
+            self._requests_by_model[ask.model] = count + 1
         if ask.adapter:
             self.popularity.record(ask.adapter)
 
--- a/flamingovalve/gateway/learning.py
+++ b/flamingovalve/gateway/learning.py
@@ -30,7 +30,8 @@
 _LATER_INCREASE_SHARE: Final = 0.003
 _MISS_CHANGE_SHARE: Final = 0.06
 _HIT_DECREASE_SHARE: Final = 0.001
-# At or below this contention a late load means that a single load is slower.
+# At or below this contention a late load means that a single load takes longer
+# than estimated.
 _LOW_CONTENTION: Final = 0.5
 _INITIAL_KEPT_ADAPTERS: Final = 48
 # Adapters beyond the known capacity that are also assumed to be kept.
@@ -130,7 +131,8 @@
     slow down in proportion. Neither that number nor the duration of a load is
     published. Requests are sent when their adapter should be loaded, and an
     engine refuses those that arrive too early: a refusal increases the
-    estimates and successes decrease them, as in network congestion control.
+    expected times and successes decrease them, as in network congestion
+    control.
 
     :ivar seconds: estimated seconds of one load at full speed
     :ivar full_speed: estimated number of loads served at full speed
--- a/flamingovalve/gateway/ledger.py
+++ b/flamingovalve/gateway/ledger.py
@@ -113,7 +113,7 @@
         time
     :ivar avoided_until: end of the pause after a failure, on the local clock
     :ivar failing: exponentially weighted share of failed requests
-    :ivar silent: whether it did not answer the last request for a report
+    :ivar silent: whether it did not respond to the last request for a report
     :ivar model_ready_at: when a base model being loaded should be ready
     :ivar at_hand: models that it can load without the weight store
     :ivar fence: fencing number of the next order; ``NO_FENCE`` until found
@@ -302,9 +302,9 @@
 
     def forget(self, name: AdapterId) -> None:
         """Record that an adapter is unloaded and drop its cached prompts."""
-        gone = self.held.pop(name, None)
-        if gone is not None:
-            gone.state = AdapterState.UNLOADING
+        unloaded = self.held.pop(name, None)
+        if unloaded is not None:
+            unloaded.state = AdapterState.UNLOADING
         self.kept.record_unload(name)
         self.parts.forget(name)
 
@@ -377,11 +377,11 @@
         return not self.models and clock.now() < self.model_ready_at
 
     def record_answer(self) -> None:
-        """Record that the engine answered."""
+        """Record that the engine responded."""
         self.silent = False
 
     def record_silence(self) -> None:
-        """Exclude the engine from choices until it answers again."""
+        """Exclude the engine from choices until it responds again."""
         self.silent = True
 
     def record_failure(self) -> None:
--- a/flamingovalve/gateway/orders.py
+++ b/flamingovalve/gateway/orders.py
@@ -94,8 +94,8 @@
     :ivar sequence: the count that the next order of this VM names; None until
         a report was read
     :ivar ordered: whether the last known order was sent by this VM
-    :ivar unanswered: whether the last order of this VM got no answer, so that
-        the engine's count may be one higher
+    :ivar unanswered: whether the last order of this VM got no response, so
+        that the engine's count may be one higher
     :ivar predecessor_ended: whether the previous owner of the engine has
         provably stopped sending orders
     :ivar quiet_since: when an order of another VM was last observed, or the
@@ -119,10 +119,11 @@
     accepted_at: float = float('-inf')
 
     def may_order(self) -> bool:
-        """Return whether an order cannot make two VMs alternate as holders.
+        """Return whether this VM may send an order now.
 
-        The sender of the last order may send more. Any other VM must wait
-        until the last holder has ended or sent no order for a lease.
+        Two VMs must not alternate as holders. The sender of the last order
+        may send more; any other VM must wait until the last holder has ended
+        or sent no order for a lease.
         """
         now = clock.now()
         if self.sequence is None or now < self.paused_until:
--- a/flamingovalve/gateway/owned.py
+++ b/flamingovalve/gateway/owned.py
@@ -55,7 +55,7 @@
         """Create a manager that owns no group.
 
         :param fresh_revision: reads the current revision from the store
-        :param probe: checks immediately whether a VM still answers
+        :param probe: checks immediately whether a VM still responds
         :param link_to: creates the connection to an engine
         :param started_at: start of this process, by the local clock
         """
@@ -181,15 +181,15 @@
             # Several VMs may have ended together; probe the next candidate
             # now instead of at its periodic probe.
             await self._probe(self._claims.candidate(group))
-        is_ours = owner_vm == self._members.own_id
+        is_owned_here = owner_vm == self._members.own_id
         owner = self._owners.get(group)
-        if owner is None and is_ours:
+        if owner is None and is_owned_here:
             owner = await self._acquire(group, predecessor_ended=ended)
-        elif owner is not None and not is_ours:
+        elif owner is not None and not is_owned_here:
             await self._release(group)
             owner = None
         if claim is not None:
-            # Announced after the owner exists, so that it can accept places
+            # Announced after the owner exists, so that it can adopt places
             # as soon as other VMs learn of the claim.
             await announce(claim)
         return owner
@@ -207,7 +207,7 @@
         Otherwise a store that does not respond would leave the group without
         an owner until the request to it times out.
 
-        :returns: the revision, or None without an answer in time
+        :returns: the revision, or None without a response in time
         """
         if not has_short_timeout:
             return await self._fresh_revision()
--- a/flamingovalve/gateway/owner.py
+++ b/flamingovalve/gateway/owner.py
@@ -109,9 +109,9 @@
         :raises ServingError: if none becomes available in time, or if the
             request may be declined and should try another group
         """
-        at_once = self.place_immediately(ask)
-        if at_once is not None:
-            return at_once
+        immediate = self.place_immediately(ask)
+        if immediate is not None:
+            return immediate
         return await self.place_queued(ask)
 
     def place_immediately(self, ask: PlaceAsk) -> Place | None:
@@ -228,7 +228,7 @@
         await self.serve_waiting()
 
     async def _request_report(self, place: Place) -> None:
-        """Poll an engine that broke a connection without delay.
+        """Request a report from an engine at once after a lost connection.
 
         If it has crashed, every request sent to it before the next periodic
         report would fail.
