--- a/flamingovalve/gateway/follower.py
+++ b/flamingovalve/gateway/follower.py
@@ -215,7 +215,7 @@
         return self._watchers.apply_rumour(rumour)
 
     async def fresh_revision(self) -> int | None:
-        """Return the store's current revision, or None without an answer."""
+        """Return the store's current revision, or None if it is unavailable."""
         try:
             return await self._store.revision()
         except StoreUnavailable as failed:
@@ -245,7 +245,7 @@
         """Confirm that the local configuration is current.
 
         Asks the other watchers in turn, and the store only if none of them
-        answers.
+        responds.
 
         :param target_age: age in seconds that a confirmation should reach; up
             to ``_CONFIRM_TIMEOUT_SECONDS`` more is accepted
@@ -277,7 +277,8 @@
             await self._notify_listeners()
 
     async def _watch(self, seconds: float) -> bool:
-        # Every change up to this revision is known, from the store or VMs.
+        # Every change up to this revision is known, from the store or other
+        # VMs.
         known = max(self.store_revision, self._catalogue.changed_revision)
         asked_at = clock.boot()
         reading = await self._store.watch('', known, seconds)
@@ -307,7 +308,7 @@
             self._pending_fetches.pop(vm, None)
 
     async def _fetch_from(self, vm: VmId, seconds: float) -> bool:
-        """Fetch newer documents from a VM; return whether it answered."""
+        """Fetch newer documents from a VM; return whether it replied."""
         member = self._members.by_id.get(vm)
         if member is None:
             return False
@@ -347,4 +348,4 @@
 
 
 async def _discard_rumour(_rumour: WatchRumour) -> None:
-    """Drop a rumour, as gossip is not connected."""
+    """Discard a rumour; the default until the daemon sets a publisher."""
--- a/flamingovalve/gateway/front.py
+++ b/flamingovalve/gateway/front.py
@@ -42,8 +42,8 @@
     ) -> None:
         """Serve the requests that ``access`` admits through ``server``.
 
-        :param seconds_until_configured: returns the estimated seconds until the first
-            configuration has been read
+        :param seconds_until_configured: returns the estimated seconds until
+            the first configuration has been read
         """
         self._until_configured = seconds_until_configured
         self.in_progress = 0
--- a/flamingovalve/gateway/place_finder.py
+++ b/flamingovalve/gateway/place_finder.py
@@ -33,9 +33,10 @@
 # Each owner asked costs an exchange, and if several groups have no good place,
 # the rest mostly have none either.
 _MAX_GROUPS_ASKED: Final = 4
-# An owner that did not answer is asked last until membership detects a failure.
+# An owner that did not respond is asked last for this long, in which membership
+# can detect a failure.
 _SILENT_SECONDS: Final = 1.5
-# Interval at which one request still asks an owner that did not answer.
+# Interval at which one request still asks an owner that did not respond.
 _SILENT_PAUSE_SECONDS: Final = 0.3
 
 
@@ -58,8 +59,8 @@
     ) -> None:
         """Ask the owners that ``claims`` names.
 
-        :param probe: checks immediately whether a VM still answers
-        :param fallback: finds places if no owner answers
+        :param probe: checks immediately whether a VM still responds
+        :param fallback: finds places if no owner responds
         """
         self._fallback = fallback
         self._probe = probe
@@ -83,7 +84,7 @@
             if lease is not None:
                 return lease
             if clock.now() > started_at + _MAX_OWNER_WAIT_SECONDS:
-                raise _no_owner()
+                raise _no_owner_error()
             await curio.sleep(_OWNER_RETRY_SECONDS)
 
     async def _take_from_fallback(
@@ -127,7 +128,10 @@
         group: GroupId,
         waits: dict[GroupId, float],
     ) -> PlaceLease | None:
-        """Ask one group; if it declines, store its expected wait in ``waits``."""
+        """Ask one group; record its expected wait if it declines.
+
+        :param waits: receives the expected wait in seconds, by group
+        """
         try:
             return await self._ask(request, ask, group)
         except ServingError as declined:
@@ -153,11 +157,11 @@
         return clock.now() < self._silent_until.get(owner, 0)
 
     def _should_skip(self, owner: VmId) -> bool:
-        """Return whether an owner that did not answer is skipped for now.
+        """Return whether an owner that did not respond is skipped for now.
 
         Each request that asks an overloaded owner in vain adds to its delay
         and loses half a second itself. One request per interval detects
-        whether the owner answers again.
+        whether the owner responds again.
         """
         now = clock.now()
         if now >= self._silent_until.get(owner, 0):
@@ -207,7 +211,7 @@
         return None
 
 
-def _no_owner() -> ServingError:
+def _no_owner_error() -> ServingError:
     return ServingError(
         ErrorKind.NOT_OWNER,
         'no VM currently grants places on these engines; retry later',
--- a/flamingovalve/gateway/places.py
+++ b/flamingovalve/gateway/places.py
@@ -104,8 +104,8 @@
         try:
             await self._connection.send(PlaceEnd(outcome, first_event))
         except ConnectionLost:
-            # The owner is unreachable. Its successor is told of the place by
-            # PlaceClient.notify_new_owner.
+            # The owner is unreachable. PlaceClient.notify_new_owner reports
+            # the place to its successor.
             await self._connection.close()
             return
         self._peers.release(self._connection, self._address)
@@ -164,7 +164,7 @@
         """Report the places of a group that this VM holds to its new owner.
 
         A new owner knows only the reports of engines, which do not say which
-        adapters are in use. Unaware of a place, it could order an adapter in
+        adapters are in use. Without this report it could order an adapter in
         use to be unloaded, and the engine would refuse requests for that
         adapter until its last request has ended.
         """
--- a/flamingovalve/gateway/quarantine.py
+++ b/flamingovalve/gateway/quarantine.py
@@ -1,10 +1,10 @@
 """Quarantines requests that repeatedly crash upstreams.
 
 A request may crash every upstream that runs it, while its caller retries it
-through any VM. When an upstream crashes, the faulty request cannot be told
-from the others that it ran, as each VM sees only some of them. But a harmless
-request succeeds when it is retried, while the faulty one crashes an upstream
-each time.
+through any VM. When an upstream crashes, the faulty request cannot be
+distinguished from the others that it ran, as each VM sees only some of them.
+But a harmless request succeeds when it is retried, while the faulty one crashes
+an upstream each time.
 
 Retries are recognized by host, method, path, adapter and body. Requests
 without a body are exempt: many callers send the same path, and unrelated
@@ -68,7 +68,7 @@
         :param refuses: returns whether an address refuses connections
         """
         self.counts = CrashCounts()
-        self.publish: PublishRumour = _publish_nowhere
+        self.publish: PublishRumour = _discard_rumour
         self._seconds = seconds
         self._refuses = refuses
         self._suspects: dict[Fingerprint, _Suspect] = {}
@@ -116,7 +116,10 @@
         return Dissemination.ORDINARY
 
     async def _has_crashed(self, upstream: Upstream) -> bool:
-        """Return whether the upstream crashed, not just its connection."""
+        """Return whether the upstream crashed, not just its connection.
+
+        A crashed upstream refuses new connections.
+        """
         return await self._refuses(upstream.address)
 
     def _clear(self, request: InboundRequest) -> None:
@@ -182,5 +185,5 @@
     )
 
 
-async def _publish_nowhere(_rumour: PoisonRumour) -> None:
-    """Drop a rumour; the default until the daemon sets a publisher."""
+async def _discard_rumour(_rumour: PoisonRumour) -> None:
+    """Discard a rumour; the default until the daemon sets a publisher."""
--- a/flamingovalve/gateway/quotas.py
+++ b/flamingovalve/gateway/quotas.py
@@ -33,7 +33,7 @@
 _ASK_SECONDS: Final = 0.25
 # Number of keepers that are asked before the local share is used.
 _MAX_KEEPERS_ASKED: Final = 2
-# A keeper that did not answer is skipped for this long.
+# A keeper that did not respond is skipped for this long.
 _SKIP_SECONDS: Final = 1.0
 # Unused credit expires after this long.
 _UNUSED_LIFETIME_SECONDS: Final = 0.5
@@ -60,7 +60,7 @@
     :ivar keeper_balance: balance in the last reply of a keeper
     :ivar keeper_balance_at: when that reply arrived
     :ivar local_bucket: this VM's share of the quota, for when no keeper
-        answers
+        responds
     """
 
     unused: float = 0
@@ -74,7 +74,7 @@
     """Admits requests within the quota of their workspace.
 
     The keeper of a quota is the first of the large reachable VMs in
-    rendezvous order. If no keeper answers, for example before a failure is
+    rendezvous order. If no keeper responds, for example before a failure is
     detected, a VM grants credit from its own share of the quota.
     """
 
@@ -102,7 +102,7 @@
     async def take(self, request: InboundRequest) -> None:
         """Take credit for a request.
 
-        :raises ServingError: if the quota is exceeded, or no keeper answers
+        :raises ServingError: if the quota is exceeded, or no keeper responds
             and the local share is used up
         """
         quota = self._catalogue.configuration.quota_of(request.workspace)
--- a/flamingovalve/gateway/return_times.py
+++ b/flamingovalve/gateway/return_times.py
@@ -15,6 +15,6 @@
 
 
 def add_jitter(seconds: float, request_id: str) -> float:
-    """Return a wait in seconds, extended by a share derived from the request."""
+    """Return ``seconds`` extended by a share derived from the request id."""
     fraction = hashing.uniform('return', request_id)
     return seconds * (1 + _MAX_JITTER_SHARE * fraction)
--- a/flamingovalve/gateway/side_answers.py
+++ b/flamingovalve/gateway/side_answers.py
@@ -46,7 +46,7 @@
         self._is_ready = is_ready
 
     async def answer(self, request: Request, responder: Responder) -> None:
-        """Answer one request."""
+        """Serve one request."""
         domain = self._platform.asked_domain(request)
         if domain is not None:
             response = self._addresses(domain)
--- a/flamingovalve/gateway/waiting.py
+++ b/flamingovalve/gateway/waiting.py
@@ -46,13 +46,14 @@
 class Waiter:
     """One request that waits for a place.
 
-    :ivar times_updated_at: when the remaining times of ``ask`` were last updated
+    :ivar times_updated_at: when the remaining times of ``ask`` were last
+        updated
     :ivar settled: set when the request has a place or a refusal
     :ivar place: the place, once an engine is chosen
     :ivar refusal: why the request gets no place
     :ivar is_disconnected: whether the caller has disconnected
     :ivar place_deadline: latest time, on the local clock, to get a place and
-        still answer in time
+        still respond in time
     """
 
     ask: PlaceAsk
@@ -83,7 +84,7 @@
 class WaitingRequests:
     """Waiting requests, sorted by turn and indexed by adapter.
 
-    Requests that can still be answered in time are served first. In plain
+    Requests that can still be served in time come first. In plain
     order of arrival, a long burst makes every request wait until just after
     its target: as many are served, but none in time.
     """
@@ -105,11 +106,11 @@
 
     @property
     def late_count(self) -> int:
-        """Number of requests that can no longer be answered in time."""
+        """Number of requests that can no longer be served in time."""
         return len(self) - self.in_time_count()
 
     def in_time_count(self) -> int:
-        """Return the number of requests that can be answered in time."""
+        """Return the number of requests that can still be served in time."""
         return len(self._by_deadline)
 
     def add(self, waiter: Waiter) -> None:
@@ -144,9 +145,9 @@
         del self._by_turn[waiter.turn]
         if not waiter.turn.is_late:
             del self._by_deadline[_deadline_key(waiter)]
-        same = self._by_adapter[waiter.ask.adapter]
-        del same[waiter.turn]
-        if not same:
+        same_adapter = self._by_adapter[waiter.ask.adapter]
+        del same_adapter[waiter.turn]
+        if not same_adapter:
             del self._by_adapter[waiter.ask.adapter]
         return True
 
--- a/flamingovalve/gateway/watchers.py
+++ b/flamingovalve/gateway/watchers.py
@@ -2,7 +2,7 @@
 
 The request rate that the store supports grows more slowly than the fleet. So
 only a few VMs of each failure domain watch. The others learn of changes by
-rumours, and take over from watchers that lose the store.
+rumours, and take over from watchers that can no longer reach the store.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 class Watchers:
     """Ranks the VMs of each failure domain; the first available ones watch.
 
-    All VMs compute the same ranking, so no assignment is sent. A VM that
-    loses the store announces it, and the next in rank takes over.
+    All VMs compute the same ranking, so no assignment is sent. A VM that can
+    no longer reach the store announces it, and the next in rank takes over.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self._sequence = 0
 
     def own_store_rumour(self, *, lost: bool) -> WatchRumour:
-        """Return a rumour that this VM has lost or regained the store."""
+        """Return a rumour on whether this VM reaches the store."""
         self._sequence += 1
         rumour = WatchRumour(
             self._members.own_id,
@@ -98,8 +98,8 @@
     def other_watchers(self) -> list[VmId]:
         """Return the other VMs that should watch the store now.
 
-        VMs that report no loss of the store come first, and among these the
-        VMs of the local failure domain.
+        VMs that have not reported the store as unreachable come first, and
+        among these the VMs of the local failure domain.
         """
         by_domain = self._by_domain()
         count = self._count(len(by_domain))
