--- a/flamingovalve/gateway/follower.py
+++ b/flamingovalve/gateway/follower.py
@@ -55,7 +55,7 @@
 _MAX_CONFIRMERS: Final = 3
 # Makes a watch return immediately with the pending changes.
 _CATCH_UP_SECONDS: Final = 0.001
-# A VM that has not answered by then may be down; another is asked as well.
+# A VM that has not replied by then may be down; another is asked as well.
 _SECOND_FETCH_SECONDS: Final = 0.4
 
 
@@ -64,7 +64,7 @@
     """A pending request for documents to another VM.
 
     :ivar revision: newest revision that the VM has announced
-    :ivar since: when the request was started, by the local clock
+    :ivar since: when the request was started, on the local clock
     """
 
     revision: int
@@ -181,7 +181,7 @@
     def seconds_until_configured(self) -> float:
         """Return the estimated time until the first read, in seconds.
 
-        A store that does not answer usually stays unreachable for seconds.
+        A store that does not respond usually stays unreachable for seconds.
         Callers that retry sooner are refused again, and most do not try a
         third time.
         """
@@ -250,12 +250,12 @@
         :param target_age: age in seconds that a confirmation should reach; up
             to ``_CONFIRM_TIMEOUT_SECONDS`` more is accepted
         """
-        has_answered = False
+        has_replied = False
         for vm in self._watchers.other_watchers()[:_MAX_CONFIRMERS]:
-            has_answered |= await self._fetch_from(vm, _CONFIRM_TIMEOUT_SECONDS)
+            has_replied |= await self._fetch_from(vm, _CONFIRM_TIMEOUT_SECONDS)
             if self.confirmation.age() <= target_age + _CONFIRM_TIMEOUT_SECONDS:
                 return
-        if has_answered:
+        if has_replied:
             return
         try:
             await self._follow(_CATCH_UP_SECONDS)
--- a/flamingovalve/gateway/group.py
+++ b/flamingovalve/gateway/group.py
@@ -38,7 +38,7 @@
     :ivar predecessor_ended: whether the previous owner of the group has
         provably stopped sending orders
     :ivar orders_after: earliest time of an order to a newly added engine,
-        by the local clock
+        on the local clock
     """
 
     def __init__(
--- a/flamingovalve/gateway/quota_keeper.py
+++ b/flamingovalve/gateway/quota_keeper.py
@@ -54,7 +54,7 @@
     ) -> None:
         """Grant credit by the quotas in ``catalogue``.
 
-        :param started_at: start of this process in clock seconds; credit
+        :param started_at: start of this process, on the local clock; credit
             accrues from then on, as earlier grants are unknown
         :param overage: fraction by which a partitioned fleet may exceed a
             quota
--- a/flamingovalve/gateway/watchers.py
+++ b/flamingovalve/gateway/watchers.py
@@ -48,7 +48,7 @@
     ) -> None:
         """Select ``per_domain`` VMs of each failure domain.
 
-        :param started_at: when this VM began to discover the others, by the
+        :param started_at: when this VM began to discover the others, on the
             local clock
         """
         self._members = members
