--- a/flamingovalve/claims/executor.py
+++ b/flamingovalve/claims/executor.py
@@ -45,7 +45,7 @@
 class ForwardFailed(Exception):
     """A call could not be forwarded to the VM that should run it.
 
-    :ivar ended: the process there has provably ended
+    :ivar ended: whether the process there has provably ended
     """
 
     def __init__(self, message: str, *, ended: bool) -> None:
@@ -57,7 +57,8 @@
 class CallExecutor:
     """Runs non-idempotent calls or forwards them to their executor.
 
-    :ivar refuses_new_calls: refuse and seal new calls, as while this VM leaves
+    :ivar refuses_new_calls: whether new calls are refused and their keys sealed,
+        because this VM leaves
     """
 
     def __init__(
@@ -108,7 +109,7 @@
 
         :param addresses: replicas of the service
         :returns: the response of the service, also for a resend
-        :raises ServingError: when there is no answer; its ``ran`` states
+        :raises ServingError: if there is no response; its ``ran`` states
             whether the call may have run
         """
         if not request.key:
@@ -239,9 +240,9 @@
     ) -> Response | None:
         """Run a claim at one of its holders.
 
-        :returns: None if that holder does not answer. The next holder may
-            then run it: the silent one alone is no majority, so it cannot
-            allow a second run
+        :returns: the response; None if that holder does not reply. The next
+            holder may then run it: the silent one alone is no majority, so
+            it cannot allow a second run
         """
         if name == self._own_id:
             return await self._run_or_join(claim)
@@ -305,7 +306,7 @@
 
     async def _start(self, claim: Claim) -> ClaimRecord:
         if self.refuses_new_calls:
-            # While this VM leaves, it still answers resends. New calls are
+            # While this VM leaves, it still serves resends. New calls are
             # sealed, so that "not run" stays true after this process ended.
             raise await self._refuse_to_start(claim, refusals.leaving())
         own = (self._own_id, self._incarnation)
--- a/flamingovalve/claims/keys.py
+++ b/flamingovalve/claims/keys.py
@@ -36,11 +36,11 @@
 def key_time(request: ServiceRequest) -> float:
     """Return the Unix time at which the caller's own key was made.
 
-    Records are kept for a bounded time, and no disk outlives a VM. The age of
-    a key must therefore be known: otherwise the call could run a second time
-    once all holders have dropped its record.
+    Records are kept for a bounded time, and the disk of a VM is lost with it.
+    The age of a key must therefore be known: otherwise the call could run a
+    second time once all holders have dropped its record.
 
-    :raises ServingError: when neither the key nor the request contains it
+    :raises ServingError: if neither the key nor the request contains it
     """
     if request.key_time > 0:
         return request.key_time
--- a/flamingovalve/claims/permit.py
+++ b/flamingovalve/claims/permit.py
@@ -89,8 +89,8 @@
             secrets.token_urlsafe(_NONCE_BYTES),
         )
         signed = permit.signed_part().encode()
-        sealed = authentication_code(self._key, signed) + signed
-        return PREFIX + base64.urlsafe_b64encode(sealed).decode('ascii')
+        permit_bytes = authentication_code(self._key, signed) + signed
+        return PREFIX + base64.urlsafe_b64encode(permit_bytes).decode('ascii')
 
     def is_ours(self, text: str) -> bool:
         """Return whether this process made the permit."""
@@ -134,8 +134,8 @@
 
 def _split_code(text: str) -> tuple[bytes, bytes]:
     encoded = text.removeprefix(PREFIX).encode('ascii')
-    sealed = base64.b64decode(encoded, b'-_', validate=True)
-    return sealed[:CODE_BYTES], sealed[CODE_BYTES:]
+    permit_bytes = base64.b64decode(encoded, b'-_', validate=True)
+    return permit_bytes[:CODE_BYTES], permit_bytes[CODE_BYTES:]
 
 
 def _malformed_permit() -> ServingError:
--- a/flamingovalve/claims/refusals.py
+++ b/flamingovalve/claims/refusals.py
@@ -1,4 +1,4 @@
-"""Errors of non-idempotent calls that cannot be answered."""
+"""Errors of non-idempotent calls that get no response."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 
 
 def answer_not_kept() -> ServingError:
-    """Return the error of a call that ran and whose answer was dropped."""
+    """Return the error of a call that ran and whose response was dropped."""
     return ServingError(
         ErrorKind.ANSWER_NOT_KEPT,
         'the call ran, but its answer is no longer kept; read the outcome '
--- a/flamingovalve/claims/runner.py
+++ b/flamingovalve/claims/runner.py
@@ -122,7 +122,7 @@
             return
         if claim.request.remaining() <= 0:
             # The deadline passed, as when this process was paused. The caller
-            # may have got another answer from another VM by now.
+            # may have received another response from another VM by now.
             await connection.close()
             await self._refuse(record, claim)
             return
@@ -159,7 +159,7 @@
     async def _refuse(self, record: ClaimRecord, claim: Claim) -> None:
         """Settle a claim that was not run and must not run any more.
 
-        The answer is "not run" only if the key is sealed at enough holders
+        The outcome is "not run" only if the key is sealed at enough holders
         that no later run can be acknowledged; otherwise it is "unknown".
         """
         record.state = ClaimState.SEALED
@@ -175,9 +175,9 @@
         await record.settle(state)
 
     async def _send_outcome(self, record: ClaimRecord, claim: Claim) -> None:
-        # The requests that wait for this answer were woken before this task
-        # starts, and get all of it. Only then may the bound on the answers
-        # kept for resends drop it.
+        # The requests that wait for this response were woken before this
+        # task starts, and get all of it. It may be dropped only after that,
+        # when it counts towards the limit on the responses kept for resends.
         if record.state is ClaimState.FINISHED:
             self._table.count_answer(record)
         for name in claim.others(self._own_id):
--- a/flamingovalve/claims/table.py
+++ b/flamingovalve/claims/table.py
@@ -22,7 +22,7 @@
     from flamingovalve.generated.settings import ClaimSettings
 
 # Seals may still be recorded when the table is too full for new claims: they
-# are small, and a refusal is only true if the key is sealed.
+# are small, and a refusal may state "not run" only if the key is sealed.
 _SEAL_LIMIT_FACTOR = 1.25
 
 _SETTLED_STATES = frozenset(
@@ -41,7 +41,7 @@
     :ivar executor: the VM that may send the request upstream
     :ivar incarnation: the only process of that VM that may do so
     :ivar body_digest: digest of the body of the request; empty if unknown
-    :ivar made_at: when the record was made
+    :ivar made_at: when the record was made, on the monotonic clock
     :ivar settled: set once the outcome is known
     """
 
@@ -64,7 +64,7 @@
     def record_answer(
         self, status: int, content_type: str, answer: bytes
     ) -> None:
-        """Record the answer of the upstream."""
+        """Record the response of the upstream; ``answer`` is its body."""
         self.status = status
         self.content_type = content_type
         self.answer = answer
@@ -76,7 +76,7 @@
         self.record_answer(reply.status, reply.content_type, reply.answer)
 
     def drop_answer(self) -> int:
-        """Drop the answer, but not that the call ran; return its size."""
+        """Drop the response, but not that the call ran; return its size."""
         freed_bytes = len(self.answer)
         self.record_answer(0, '', b'')
         return freed_bytes
@@ -90,7 +90,7 @@
     instead: a refusal is visible and harmless, a double payment is not.
 
     :ivar refused_full: number of records refused because the table was full
-    :ivar kept_bytes: size of the recorded answers
+    :ivar kept_bytes: total size of the bodies of the recorded responses
     """
 
     def __init__(self, settings: ClaimSettings) -> None:
@@ -141,7 +141,7 @@
         return counts
 
     def count_answer(self, record: ClaimRecord) -> None:
-        """Count a recorded answer, and drop the oldest ones beyond the limit."""
+        """Count a recorded response; drop the oldest ones over the limit."""
         if len(record.answer) > self._settings.answer_bytes:
             record.drop_answer()
         self.kept_bytes += len(record.answer)
--- a/flamingovalve/engines/backoff.py
+++ b/flamingovalve/engines/backoff.py
@@ -16,7 +16,7 @@
     """Consecutive failed loads of one adapter.
 
     :ivar failures: failed loads since the last successful one
-    :ivar retry_at: earliest time of the next load, on the local clock
+    :ivar retry_at: earliest time of the next load, on the monotonic clock
     """
 
     failures: int
@@ -27,7 +27,8 @@
     """Failed loads by adapter name; each failure doubles the pause.
 
     Without a pause, an adapter that cannot be loaded would be retried all
-    the time and use up the store's load budget of the other adapters.
+    the time and use up the part of the store's load budget that other
+    adapters need.
     """
 
     def __init__(self) -> None:
--- a/flamingovalve/engines/owner.py
+++ b/flamingovalve/engines/owner.py
@@ -60,10 +60,10 @@
     """An engine owned by this VM; runs one task, plus one for each load.
 
     The owner may dispatch until its lease expires. If the engine checks
-    fencing numbers, the lease is renewed whenever the engine reports our
-    number as its highest; otherwise the deputy renews it. A new owner waits
-    for the duration of a lease before its first eviction, by which time the
-    previous owner has stopped dispatching.
+    fencing numbers, the lease is renewed whenever the engine reports this
+    VM's number as its highest; otherwise the deputy renews it. A new owner
+    waits for the duration of a lease before its first eviction, by which
+    time the previous owner has stopped dispatching.
     """
 
     def __init__(
@@ -257,7 +257,7 @@
         return True
 
     def _compute_quiet_seconds(self) -> float:
-        """Return the seconds after which a previous owner has stopped."""
+        """Return the seconds in which a previous owner stops dispatching."""
         quiet = self._settings.claim_quiet_seconds
         # Without fencing, the previous owner may have to lose its quorum first.
         return quiet if self.engine.fencing else 2 * quiet
@@ -341,7 +341,7 @@
 
         The report lags, so it does not override later local changes.
 
-        :param taken_at: when the report was taken, on the local clock
+        :param taken_at: when the report was taken, on the monotonic clock
         """
         self._report_taken_at = taken_at
         residents = self.scheduler.residents
@@ -376,8 +376,8 @@
 
         A previous owner may go on dispatching until its lease expires. If
         an adapter were evicted before that, a request in progress could
-        lose it, and its caller would get an error or the base model's
-        answer.
+        lose it, and the caller would get an error or a response of the base
+        model.
         """
         if clock.now() < self._claimed_at + self._quiet_seconds:
             return False
--- a/flamingovalve/engines/queue.py
+++ b/flamingovalve/engines/queue.py
@@ -28,9 +28,9 @@
     """A request in the queue of an engine, or dispatched to the engine.
 
     :ivar name: ``ADAPTER@VERSION`` that the request needs
-    :ivar deadline: on the local clock
+    :ivar deadline: time on the monotonic clock
     :ivar isolated: whether to run it while no other request runs
-    :ivar entered_at: when it was queued, on the local clock
+    :ivar entered_at: when it was queued, on the monotonic clock
     :ivar dispatched_at: when it was dispatched; negative before that
     :ivar resident: the adapter in its slot, once it is dispatched
     :ivar stalled: whether it had to wait for a load
--- a/flamingovalve/engines/residents.py
+++ b/flamingovalve/engines/residents.py
@@ -32,7 +32,7 @@
 
     :ivar name: ``ADAPTER@VERSION``
     :ivar pins: requests dispatched and not known to have ended
-    :ivar used_at: when a request was last dispatched to it, on the local
+    :ivar used_at: when a request was last dispatched to it, on the monotonic
         clock
     :ivar foreign_use_at: when a report last showed requests of another VM
     :ivar recent_peak: maximum of the pins since the last report
--- a/flamingovalve/engines/scheduler.py
+++ b/flamingovalve/engines/scheduler.py
@@ -133,7 +133,7 @@
         await self.schedule()
 
     async def schedule(self) -> None:
-        """Dispatch ready requests and start loads of adapters they wait for."""
+        """Dispatch ready requests and start the loads that others wait for."""
         await self._dispatch_all()
         previously_draining = self._draining
         await self._start_loads()
@@ -153,7 +153,10 @@
         await self.schedule()
 
     async def evict_all(self) -> None:
-        """Remove every adapter: the engine restarted with empty slots."""
+        """Remove the adapters that the engine lost when it restarted.
+
+        Adapters whose load is in progress stay until the load has ended.
+        """
         for resident in list(self.residents.by_name.values()):
             if resident.state is not ResidentState.LOADING:
                 self.residents.remove(resident.name)
@@ -189,10 +192,10 @@
     def _estimate_wait(self, ticket: Ticket) -> float:
         ticket.entered_at = clock.now()
         seat_count = max(self.engine.batch, 1)
-        ahead = self.queue.count_before(ticket)
-        if self.running < seat_count and not ahead:
+        requests_before = self.queue.count_before(ticket)
+        if self.running < seat_count and not requests_before:
             return 0
-        return ahead / seat_count * self.services.mean
+        return requests_before / seat_count * self.services.mean
 
     async def _wait_for_seat(self, ticket: Ticket) -> None:
         remaining = max(ticket.deadline - clock.now(), 0)
--- a/flamingovalve/http/server.py
+++ b/flamingovalve/http/server.py
@@ -361,8 +361,8 @@
 
     async def _drain_input(self) -> None:
         # If the socket is closed while the caller still sends, the kernel
-        # answers with a reset, which can discard the refusal before the
-        # caller has read it.
+        # sends a reset, which can discard the refusal before the caller has
+        # read it.
         await self._socket.shutdown(socket.SHUT_WR)
         async with curio.ignore_after(1):
             received = await self._socket.recv(_READ_BYTES)
--- a/flamingovalve/membership/gossip.py
+++ b/flamingovalve/membership/gossip.py
@@ -168,7 +168,7 @@
                 await self._probes.spawn(self._probe_one, target)
 
     async def probe_now(self, vm: VmId | None) -> None:
-        """Probe a VM at once, because a request to it got no answer."""
+        """Probe a VM at once, because a request to it got no response."""
         if (
             vm is None
             or vm in self._immediate_probes
@@ -245,10 +245,10 @@
     async def _probe_one(self, target: Member) -> None:
         self._last_probe += 1
         number = self._last_probe
-        answered = curio.Event()
-        self._ack_events[number] = answered
+        ack_event = curio.Event()
+        self._ack_events[number] = ack_event
         try:
-            await self._probe_stages(target, number, answered)
+            await self._probe_stages(target, number, ack_event)
         finally:
             self._ack_events.pop(number, None)
 
@@ -256,11 +256,11 @@
         self,
         target: Member,
         number: int,
-        answered: curio.Event,
+        ack_event: curio.Event,
     ) -> None:
         settings = self._settings
         await self._send(target, _ping(self.members.own_id, target, number))
-        if await _is_set(answered, settings.ack_seconds):
+        if await _is_set(ack_event, settings.ack_seconds):
             target.direct = True
             return
         for helper in self._helpers(target):
@@ -269,7 +269,7 @@
             await self._declare_ended(target)
             return
         remaining = settings.probe_seconds - settings.ack_seconds
-        if await _is_set(answered, max(remaining, settings.ack_seconds)):
+        if await _is_set(ack_event, max(remaining, settings.ack_seconds)):
             # Other VMs reach the target, so only the direct path is broken.
             target.direct = False
             return
@@ -450,9 +450,9 @@
             if origin is not None:
                 await self._send(origin, content)
             return
-        answered = self._ack_events.get(content.probe)
-        if answered is not None:
-            await answered.set()
+        ack_event = self._ack_events.get(content.probe)
+        if ack_event is not None:
+            await ack_event.set()
 
     @_answer.register(PingRequest)
     async def _answer_ping_request(
--- a/flamingovalve/membership/members.py
+++ b/flamingovalve/membership/members.py
@@ -19,11 +19,12 @@
 
 logger = get_logger(__name__)
 
-# Time in which VMs that start together find each other. A VM that ranks the
-# members earlier than this ranks only a few of them.
+# Time in which VMs that start together find each other. A ranking of the
+# members that is computed earlier covers only a few of them.
 SETTLE_SECONDS: Final = 0.7
-# A VM that keeps dying and coming back would move ownership each time. Each
-# return within the flap memory doubles the time before it is present again.
+# A VM that is declared dead and returns again and again would move ownership
+# each time. Each return within the flap memory doubles the time before it is
+# present again.
 _FLAP_MEMORY_SECONDS = 120
 _BASE_HOLD_SECONDS = 0.5
 _MAX_HOLD_SECONDS = 60
@@ -46,10 +47,10 @@
 
     :ivar incarnation: incarnation of its latest known process; 0 if unknown
     :ivar counter: raised by the VM itself to refute a suspicion
-    :ivar changed_at: when the state last changed, on the clock of this VM
+    :ivar changed_at: when the state last changed, on the monotonic clock
     :ivar heard_at: when a datagram last arrived from the VM itself
     :ivar direct: whether the direct path to it works
-    :ivar returns: when it came back from the dead, within the flap memory
+    :ivar returns: when it returned after it was dead, within the flap memory
     :ivar held_until: when it counts as present again after it flapped
     :ivar process_since: when its current process first became known
     :ivar ended: its processes that have provably ended, the latest last
@@ -331,8 +332,8 @@
         """
         if rumour.incarnation > self.own_incarnation:
             # The clock was set back before this process started, so the
-            # other VMs take it for a process that was replaced and drop its
-            # messages. They accept it only with a higher incarnation.
+            # other VMs take this process for one that was replaced and drop
+            # its messages. They accept it only with a higher incarnation.
             self.own_incarnation = Incarnation(rumour.incarnation + 1)
             return True
         if rumour.incarnation != self.own_incarnation:
@@ -380,7 +381,7 @@
 
     def _record_replacement(self, member: Member) -> None:
         # A new process of a known VM shares no state with the previous one,
-        # so the division of work must take note of the change.
+        # so the work must be divided again.
         if member.incarnation:
             logger.info('VM {} runs a new process', member.vm.id)
         # Two processes cannot listen at one address, so the old one has ended.
--- a/flamingovalve/peer/client.py
+++ b/flamingovalve/peer/client.py
@@ -33,9 +33,9 @@
 class PeerUnreachable(Exception):
     """No connection to a VM could be opened.
 
-    :ivar ended: the process that listened there has provably ended, since
-        its address refuses connections or another VM answers there; silence
-        alone is no proof
+    :ivar ended: whether the process that listened there has provably ended,
+        because its address refuses connections or another VM answers there;
+        silence alone is no proof
     """
 
     def __init__(self, message: str, *, ended: bool) -> None:
@@ -68,7 +68,7 @@
         connection. A pooled connection is therefore used only shortly after
         its last exchange.
 
-        :raises PeerUnreachable: when no connection could be opened
+        :raises PeerUnreachable: if no connection could be opened
         """
         idle = self._idle_by_address.get(address, [])
         while idle:
@@ -82,7 +82,7 @@
         """Open a new connection to the VM at ``address``.
 
         :param vm: id of the VM that must answer; empty for any
-        :raises PeerUnreachable: when it cannot be opened
+        :raises PeerUnreachable: if it cannot be opened
         """
         try:
             connection = await self._open(address)
@@ -112,8 +112,8 @@
         """Send one message and return the incarnation and reply of the VM.
 
         :param seconds: time limit for the exchange
-        :raises PeerUnreachable: when no connection could be opened
-        :raises ConnectionLost: when no reply arrived within ``seconds``; the
+        :raises PeerUnreachable: if no connection could be opened
+        :raises ConnectionLost: if no reply arrived within ``seconds``; the
             VM may have processed the message nevertheless
         """
         self.counts.exchanges += 1
@@ -137,7 +137,7 @@
         When the process of a VM ends, the sockets of its pooled connections
         become readable and report end of file. Such a connection is replaced.
 
-        :raises PeerUnreachable: when no connection could be opened
+        :raises PeerUnreachable: if no connection could be opened
         """
         connection = await self.acquire(address, vm)
         if not is_closed_by_peer(connection.socket):
--- a/flamingovalve/peer/connection.py
+++ b/flamingovalve/peer/connection.py
@@ -56,8 +56,8 @@
     async def open_handshake(self, keyring: Keyring, own: Hello) -> None:
         """Perform the handshake as the side that connected.
 
-        :raises ConnectionLost: when the connection broke or fell silent
-        :raises WrongPeer: when the other side does not have our key
+        :raises ConnectionLost: if the connection broke or fell silent
+        :raises WrongPeer: if the other side does not use the key of this VM
         """
         self._is_client = True
         own.nonce = secrets.token_bytes(_NONCE_BYTES)
@@ -69,8 +69,8 @@
     async def accept_handshake(self, keyring: Keyring, own: Hello) -> None:
         """Perform the handshake as the side that accepted.
 
-        :raises ConnectionLost: when the connection broke or fell silent
-        :raises WrongPeer: when the other side has none of our keys
+        :raises ConnectionLost: if the connection broke or fell silent
+        :raises WrongPeer: if the other side uses none of the keys of this VM
         """
         code, content = await self._read_frame(SILENCE_SECONDS)
         key = keyring.key_for(
@@ -88,7 +88,7 @@
     async def send(self, message: Any) -> None:
         """Write one message.
 
-        :raises ConnectionLost: when the connection broke
+        :raises ConnectionLost: if the connection broke
         """
         content = messages.encode_frame(message)
         async with self._send_lock:
@@ -106,8 +106,8 @@
 
         :param silence: maximum time without any frame, in seconds; a
             heartbeat starts it again
-        :raises ConnectionLost: when the connection broke or fell silent
-        :raises WrongPeer: when the message is forged
+        :raises ConnectionLost: if the connection broke or fell silent
+        :raises WrongPeer: if the message is forged
         """
         message = await self._receive_message(silence)
         while isinstance(message, Heartbeat):
--- a/flamingovalve/peer/server.py
+++ b/flamingovalve/peer/server.py
@@ -201,7 +201,7 @@
         kind: type,
         respond: Callable[..., Awaitable[Any]],
     ) -> None:
-        """Reply to messages of ``kind`` with the message it returns.
+        """Reply to messages of ``kind`` with the result of ``respond``.
 
         :param respond: called with the message and the Hello of the peer
         """
--- a/flamingovalve/relay/completion.py
+++ b/flamingovalve/relay/completion.py
@@ -123,7 +123,7 @@
 class Attempt:
     """One run of a completion on one engine.
 
-    :ivar may_run: the engine may still be running the request
+    :ivar may_run: whether the engine may still be running the request
     """
 
     def __init__(
@@ -306,15 +306,16 @@
         """Wait for a response that is not streamed, over new connections.
 
         Such a response sends nothing until it is complete, which may take
-        minutes; a connection that a middlebox has dropped is silent too. The
-        engine is asked which of the two it is, and a request that it still
-        runs is not run again. The deadline of the request ends the wait.
+        minutes; a connection that a middlebox has dropped is silent too.
+        After each timeout the engine is asked whether it has crashed. If not,
+        the response is requested over a new connection, and the request is
+        not run again. The deadline of the request ends the wait.
         """
-        answered = False
-        while not answered:
+        complete = False
+        while not complete:
             try:
                 await self._resume_once()
-                answered = True
+                complete = True
             except TimeoutError as timeout:
                 await self._check_engine_alive(timeout)
             except ConnectionLost as lost:
--- a/flamingovalve/relay/events.py
+++ b/flamingovalve/relay/events.py
@@ -16,7 +16,7 @@
 class AnswerCheck:
     """Checks that a response belongs to a request.
 
-    Engines batch many requests and answer over connections that are reused.
+    Engines batch many requests and respond over connections that are reused.
     A response that is late, swapped with that of another request or produced
     by another adapter is well-formed; only the request id and the adapter
     name in it reveal the mistake.
@@ -111,7 +111,7 @@
 class EventSplitter:
     """Splits a stream of bytes into complete events.
 
-    :ivar complete: the end marker has been received
+    :ivar complete: whether the end marker has been received
     :ivar passed: number of complete events so far, without the end marker
     """
 
--- a/flamingovalve/relay/quarantine.py
+++ b/flamingovalve/relay/quarantine.py
@@ -80,7 +80,7 @@
         return len(self._by_fingerprint)
 
     def verdict(self, fingerprint: Fingerprint) -> Verdict:
-        """Return whether the request with ``fingerprint`` may be run."""
+        """Return whether and how a request with ``fingerprint`` may be run."""
         known = self._by_fingerprint.get(fingerprint)
         if known is None:
             return Verdict.CLEAR
--- a/flamingovalve/relay/services.py
+++ b/flamingovalve/relay/services.py
@@ -86,7 +86,7 @@
     ) -> Response:
         """Call a replica; retry on a replica chosen anew if it fails.
 
-        :raises ServingError: if no replica answered before the deadline or
+        :raises ServingError: if no replica responded before the deadline or
             the retry budget is exhausted
         """
         pause = _INITIAL_PAUSE_SECONDS
--- a/flamingovalve/routing/engines.py
+++ b/flamingovalve/routing/engines.py
@@ -133,7 +133,7 @@
         ask: TakeoverAsk,
         _remote: object,
     ) -> TakeoverReply:
-        """Answer the owner of an engine whether this VM has taken it over."""
+        """Return whether this VM has taken over an engine of the asking VM."""
         taken = ask.engine in self._owned_by_id
         return TakeoverReply(
             taken,
--- a/flamingovalve/routing/entry.py
+++ b/flamingovalve/routing/entry.py
@@ -1,4 +1,4 @@
-"""Answers which addresses a caller should use."""
+"""Choice of the addresses that ``/v1/entry`` returns to a caller."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         target: Target,
         inventory: Inventory,
     ) -> dict[str, Any]:
-        """Return the answer for a completion on ``target``."""
+        """Return the response content for a completion on ``target``."""
         names: list[VmId] = []
         order = self._placement.order(target.name, target.model)
         for engine_id in order[: self._placement.spread(target.name)]:
@@ -47,15 +47,18 @@
         return {
             'adapter': target.adapter,
             'version': target.version,
-            **self._answer(names),
+            **self._address_content(names),
         }
 
     def for_call(self, service: str, call: str) -> dict[str, Any]:
-        """Return the answer for a call of a plain service: this VM first."""
-        answer = self._answer([VmId(self._own_id)])
-        return {'service': service, 'call': call, **answer}
+        """Return the response content for a call of a plain service.
 
-    def _answer(self, names: list[VmId]) -> dict[str, Any]:
+        The address of this VM comes first.
+        """
+        content = self._address_content([VmId(self._own_id)])
+        return {'service': service, 'call': call, **content}
+
+    def _address_content(self, names: list[VmId]) -> dict[str, Any]:
         ranked = list(dict.fromkeys(names))
         ranked.extend(
             member.vm.id for member in self._other_members(set(ranked))
--- a/flamingovalve/routing/hot_adapters.py
+++ b/flamingovalve/routing/hot_adapters.py
@@ -24,8 +24,8 @@
     """Widens the spread of adapters whose requests wait for seats.
 
     An adapter gains engines within seconds and loses them a minute after
-    the last rumour that it is hot, so fluctuating load does not cause
-    repeated loads and evictions.
+    the last rumour that it is hot, so a fluctuating request rate does not
+    cause repeated loads and evictions.
     """
 
     def __init__(
--- a/flamingovalve/routing/router.py
+++ b/flamingovalve/routing/router.py
@@ -55,16 +55,16 @@
     )
 )
 
-# Nothing reached an engine, so a retry adds no load to engines.
+# No engine ran the request, so a retry adds no load to engines.
 _FREE_RETRIES: Final = frozenset(
     (
         ErrorKind.NOT_OWNER,
         ErrorKind.NO_UPSTREAM,
         ErrorKind.LEAVING,
         ErrorKind.UPSTREAM_REFUSED,
-        # Bounded by the quarantine, which refuses a request after its second
-        # crash. Requests that ran beside a poison request must not use up
-        # their retry budget for its crashes.
+        # An exception: retries are bounded by the quarantine, which refuses a
+        # request after its second crash. Requests that ran beside a poison request must not use up
+        # the retry budget for its crashes.
         ErrorKind.UPSTREAM_CRASHED,
     )
 )
@@ -167,7 +167,7 @@
     async def _attempt(self, work: CompletionWork, sink: Sink) -> None:
         self._check_quarantine(work)
         if work.offset == 0:
-            # Each attempt has a request ID of its own, so that a late response
+            # Each attempt has a request id of its own, so that a late response
             # to an earlier attempt is not taken for a response to this one.
             work.request_id = RequestId(secrets.token_hex(8))
         engine = self._choose(work)
