--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -303,7 +303,7 @@
 def cross_answers(engine):
     """Make an engine send each response to the next request."""
     generations = []
-    send_whole = type(engine)._whole
+    send_whole = type(engine)._full_response
 
     def crossed(generation):
         generations.append(generation)
@@ -311,4 +311,4 @@
             engine, generations[-2] if len(generations) > 1 else generation
         )
 
-    engine._whole = crossed
+    engine._full_response = crossed
