--- a/demo/load.py
+++ b/demo/load.py
@@ -46,7 +46,7 @@
     seconds: list[float] = field(default_factory=list)
 
     def percentile(self, share: float) -> float:
-        """Return the response time that ``share`` of requests did not exceed."""
+        """Return the response time not exceeded by ``share`` of requests."""
         ordered = sorted(self.seconds)
         return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
 
--- a/flamingovalve/claims/executor.py
+++ b/flamingovalve/claims/executor.py
@@ -57,8 +57,8 @@
 class CallExecutor:
     """Runs non-idempotent calls or forwards them to their executor.
 
-    :ivar refuses_new_calls: whether new calls are refused and their keys sealed,
-        because this VM leaves
+    :ivar refuses_new_calls: whether new calls are refused and their keys
+        sealed, because this VM leaves
     """
 
     def __init__(
--- a/flamingovalve/cmd/service.py
+++ b/flamingovalve/cmd/service.py
@@ -47,7 +47,7 @@
     """State from the start of the process, before the daemon is built.
 
     :ivar listeners: listening sockets that are already open
-    :ivar began_at: start of the process, in seconds of the monotonic clock
+    :ivar began_at: start of the process, on the monotonic clock
     """
 
     listeners: EarlyListeners = field(default_factory=EarlyListeners)
--- a/flamingovalve/daemon.py
+++ b/flamingovalve/daemon.py
@@ -105,7 +105,8 @@
     ) -> Self:
         """Build the daemon of ``settings``.
 
-        :param seed: seed of all random choices; ``None`` for an unpredictable one
+        :param seed: seed of all random choices; ``None`` for an unpredictable
+            one
         """
         incarnation = Incarnation(int(clock.wall() * _MICROSECONDS))
         return cls(settings, network, random.Random(seed), incarnation)
--- a/flamingovalve/gateway/admission.py
+++ b/flamingovalve/gateway/admission.py
@@ -75,7 +75,7 @@
         """Return the latest time to get a place and still answer in time.
 
         :param ahead: waiting requests that can still be answered in time
-        :returns: time on the local clock; the current time if no place is
+        :returns: time on the monotonic clock; the current time if no place is
             expected early enough
         """
         now = clock.now()
--- a/flamingovalve/gateway/balancer.py
+++ b/flamingovalve/gateway/balancer.py
@@ -38,8 +38,8 @@
     :ivar under_way: calls in progress from this VM
     :ivar failing: exponentially weighted share of failed calls
     :ivar unreachable: connection failures and timeouts since the last success
-    :ivar avoided_until: end of the pause after the last of these, on the local
-        clock
+    :ivar avoided_until: end of the pause after the last of these, on the
+        monotonic clock
     """
 
     under_way: int = 0
--- a/flamingovalve/gateway/catalogue.py
+++ b/flamingovalve/gateway/catalogue.py
@@ -84,7 +84,7 @@
     :ivar revision: highest revision that was received
     :ivar changed_revision: highest revision that changed the catalogue
     :ivar store_unreachable_at: time of the last failed call to the store, on
-        the local clock
+        the monotonic clock
     """
 
     def __init__(self, decode: Decoder) -> None:
--- a/flamingovalve/gateway/confirmation.py
+++ b/flamingovalve/gateway/confirmation.py
@@ -8,8 +8,8 @@
 class Confirmation:
     """The latest time at which the local configuration was current.
 
-    Uses a clock that includes suspensions, so that a resumed VM does not
-    treat its configuration as fresh.
+    Uses the boot clock, which includes suspensions, so that a resumed VM does
+    not treat its configuration as fresh.
     """
 
     def __init__(self) -> None:
@@ -19,7 +19,7 @@
     def record(self, asked_at: float, age: float = 0) -> None:
         """Record a response that confirmed or updated the configuration.
 
-        :param asked_at: when the request was sent, by :func:`clock.boot`; the
+        :param asked_at: when the request was sent, on the boot clock; the
             time of receipt would understate the age
         :param age: age in seconds of the responder's own confirmation
         """
--- a/flamingovalve/gateway/credit.py
+++ b/flamingovalve/gateway/credit.py
@@ -28,7 +28,7 @@
     def __init__(self, quota: Quota, accrues_from: float) -> None:
         """Start with the credit accrued since ``accrues_from``.
 
-        :param accrues_from: start of the accrual, on the local clock
+        :param accrues_from: start of the accrual, on the monotonic clock
         """
         self._quota = quota
         self._balance = 0.0
--- a/flamingovalve/gateway/daemon.py
+++ b/flamingovalve/gateway/daemon.py
@@ -91,8 +91,8 @@
 
         :param platform: adapter to the formats of the users' platform
         :param rng: source of random choices
-        :param started_at: start of this process on the local clock; defaults to
-            the current time
+        :param started_at: start of this process on the monotonic clock;
+            defaults to the current time
         """
         self.started_at = clock.now() if started_at is None else started_at
         self.settings = settings
@@ -135,8 +135,8 @@
         """Create a daemon from its settings.
 
         :param seed: seed of the random choices; None for a random seed
-        :param started_at: start of this process on the local clock; defaults to
-            the current time
+        :param started_at: start of this process on the monotonic clock;
+            defaults to the current time
         """
         settings.vm.id = VmId(settings.vm.peer_address)
         incarnation = Incarnation(int(clock.wall() * _MICROSECONDS))
--- a/flamingovalve/gateway/follower.py
+++ b/flamingovalve/gateway/follower.py
@@ -64,7 +64,7 @@
     """A pending request for documents to another VM.
 
     :ivar revision: newest revision that the VM has announced
-    :ivar since: when the request was started, on the local clock
+    :ivar since: when the request was started, on the monotonic clock
     """
 
     revision: int
--- a/flamingovalve/gateway/group.py
+++ b/flamingovalve/gateway/group.py
@@ -38,7 +38,7 @@
     :ivar predecessor_ended: whether the previous owner of the group has
         provably stopped sending orders
     :ivar orders_after: earliest time of an order to a newly added engine,
-        on the local clock
+        on the monotonic clock
     """
 
     def __init__(
--- a/flamingovalve/gateway/inbound.py
+++ b/flamingovalve/gateway/inbound.py
@@ -54,8 +54,9 @@
     :ivar id: unique id, assigned by the caller
     :ivar headers: headers to forward, without connection headers and headers
         that only the gateway may set
-    :ivar received_at: when it was read, on the local clock
-    :ivar deadline: when its caller or its route gives up, on the local clock
+    :ivar received_at: when it was read, on the monotonic clock
+    :ivar deadline: when its caller or its route gives up, on the monotonic
+        clock
     :ivar patience: seconds that the caller was willing to wait
     :ivar priority: 0 is the most urgent
     :ivar workspace: owner of its API key; empty if its route needs no key
--- a/flamingovalve/gateway/learning.py
+++ b/flamingovalve/gateway/learning.py
@@ -107,7 +107,7 @@
 class ExpectedLoad:
     """The estimate for one load, until a request shows its outcome.
 
-    Times are on the local clock.
+    Times are on the monotonic clock.
 
     :ivar is_kept: whether the engine is assumed to have the adapter in memory
     :ivar contention: loads in progress divided by those that the weight store
--- a/flamingovalve/gateway/ledger.py
+++ b/flamingovalve/gateway/ledger.py
@@ -57,7 +57,7 @@
     """One adapter that occupies a slot.
 
     :ivar uses: number of places that use it
-    :ivar ready_at: when its load should be complete, on the local clock
+    :ivar ready_at: when its load should be complete, on the monotonic clock
     :ivar replaces: the previous version, which stays if the load fails
     :ivar is_ordered: false while its load order is queued or unanswered;
         until then no report can show the adapter
@@ -94,7 +94,7 @@
     """The place of one request on an engine.
 
     :ivar expected: expected seconds from its start to the first event
-    :ivar taken_at: when the place was granted, on the local clock
+    :ivar taken_at: when the place was granted, on the monotonic clock
     """
 
     ask: PlaceAsk
@@ -111,7 +111,8 @@
     :ivar prefill: estimated prefill work queued on it
     :ivar pace: measured time to a first event, divided by the nominal prefill
         time
-    :ivar avoided_until: end of the pause after a failure, on the local clock
+    :ivar avoided_until: end of the pause after a failure, on the monotonic
+        clock
     :ivar failing: exponentially weighted share of failed requests
     :ivar silent: whether it did not respond to the last request for a report
     :ivar model_ready_at: when a base model being loaded should be ready
--- a/flamingovalve/gateway/orders.py
+++ b/flamingovalve/gateway/orders.py
@@ -89,7 +89,7 @@
 class OrderChain:
     """What one VM knows of the orders that an engine has accepted.
 
-    All times are on the local clock.
+    All times are on the monotonic clock.
 
     :ivar sequence: the count that the next order of this VM names; None until
         a report was read
--- a/flamingovalve/gateway/owned.py
+++ b/flamingovalve/gateway/owned.py
@@ -57,7 +57,7 @@
         :param fresh_revision: reads the current revision from the store
         :param probe: checks immediately whether a VM still responds
         :param link_to: creates the connection to an engine
-        :param started_at: start of this process, on the local clock
+        :param started_at: start of this process, on the monotonic clock
         """
         self._settings = settings
         self._members = members
--- a/flamingovalve/gateway/ownership.py
+++ b/flamingovalve/gateway/ownership.py
@@ -38,7 +38,7 @@
     def __init__(self, members: MemberTable, started_at: float) -> None:
         """Start without claims.
 
-        :param started_at: start of this process, on the local clock
+        :param started_at: start of this process, on the monotonic clock
         """
         self.members = members
         self.started_at = started_at
--- a/flamingovalve/gateway/quota_keeper.py
+++ b/flamingovalve/gateway/quota_keeper.py
@@ -54,8 +54,8 @@
     ) -> None:
         """Grant credit by the quotas in ``catalogue``.
 
-        :param started_at: start of this process, on the local clock; credit
-            accrues from then on, as earlier grants are unknown
+        :param started_at: start of this process, on the monotonic clock;
+            credit accrues from then on, as earlier grants are unknown
         :param overage: fraction by which a partitioned fleet may exceed a
             quota
         """
--- a/flamingovalve/gateway/relay.py
+++ b/flamingovalve/gateway/relay.py
@@ -290,8 +290,8 @@
     last one is recorded, so that another upstream can resume after it.
 
     :ivar last_event_id: id of the last event written; empty for none
-    :ivar first_event_at: time of the first data, on the local clock; 0 for
-        none
+    :ivar first_event_at: time of the first data, on the monotonic clock; 0
+        for none
     """
 
     def __init__(self, responder: Responder, *, whole_events: bool) -> None:
--- a/flamingovalve/gateway/shards.py
+++ b/flamingovalve/gateway/shards.py
@@ -64,7 +64,7 @@
 
     :ivar count: number in use
     :ivar wanted: number that the current list of engines implies
-    :ivar wanted_since: when ``wanted`` last changed, on the local clock
+    :ivar wanted_since: when ``wanted`` last changed, on the monotonic clock
     """
 
     count: int
--- a/flamingovalve/gateway/waiting.py
+++ b/flamingovalve/gateway/waiting.py
@@ -52,8 +52,8 @@
     :ivar place: the place, once an engine is chosen
     :ivar refusal: why the request gets no place
     :ivar is_disconnected: whether the caller has disconnected
-    :ivar place_deadline: latest time, on the local clock, to get a place and
-        still respond in time
+    :ivar place_deadline: latest time, on the monotonic clock, to get a place
+        and still respond in time
     """
 
     ask: PlaceAsk
--- a/flamingovalve/gateway/watchers.py
+++ b/flamingovalve/gateway/watchers.py
@@ -49,7 +49,7 @@
         """Select ``per_domain`` VMs of each failure domain.
 
         :param started_at: when this VM began to discover the others, on the
-            local clock
+            monotonic clock
         """
         self._members = members
         self._started_at = started_at
--- a/flamingovalve/membership/members.py
+++ b/flamingovalve/membership/members.py
@@ -76,7 +76,7 @@
             self.ended = [*self.ended[1 - _MAX_ENDED_PROCESSES :], incarnation]
 
     def is_known_to_have_ended(self) -> bool:
-        """Return whether its latest process has provably ended or is leaving."""
+        """Return whether its latest process provably ended or is leaving."""
         is_absent = self.state in {State.DEAD, State.LEAVING}
         return is_absent and (
             self.incarnation in self.ended or self.state is State.LEAVING
--- a/flamingovalve/routing/router.py
+++ b/flamingovalve/routing/router.py
@@ -63,8 +63,8 @@
         ErrorKind.LEAVING,
         ErrorKind.UPSTREAM_REFUSED,
         # An exception: retries are bounded by the quarantine, which refuses a
-        # request after its second crash. Requests that ran beside a poison request must not use up
-        # the retry budget for its crashes.
+        # request after its second crash. Requests that ran beside a poison
+        # request must not use up the retry budget for its crashes.
         ErrorKind.UPSTREAM_CRASHED,
     )
 )
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -108,7 +108,7 @@
         self.assertGreater(older, 0)
 
     def test_invalid_version_is_refused_whole(self):
-        """A version with faults is rejected; the state dump lists the faults."""
+        """A faulty version is rejected; the state dump lists the faults."""
         version = self.fleet.version
         page = self.fleet.page()
         page['adapters'][0]['current'] = '9'
@@ -176,7 +176,7 @@
         self.assert_accepted(self.fleet.publish(), seconds=10)
 
     def test_cold_start_of_the_whole_fleet(self):
-        """All VMs restart at once, so only the service has the configuration."""
+        """All VMs restart at once, so only the service has a configuration."""
         for vm_id in self.fleet.vms_by_id:
             self.fleet.kill(vm_id)
         for vm_id in self.fleet.vms_by_id:
--- a/tests/test_credit.py
+++ b/tests/test_credit.py
@@ -34,7 +34,7 @@
         self.assertEqual(bucket.take(1), 0)
 
     def test_concurrent_refusals_get_staggered_waits(self):
-        """With equal waits, the requests would retry and be refused together."""
+        """With equal waits, requests would retry and be refused together."""
         bucket = CreditBucket(QUOTA, self.current_time - 10)
         bucket.take(60)
         waits = [bucket.take(20) for _ask in range(4)]
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -55,7 +55,7 @@
         self.introductions.extend((target.vm.id, entry.vm) for entry in more)
 
     def test_details_of_a_seed_whose_datagram_came_first(self):
-        """VMs that miss the size or failure domain of a seed rank it differently."""
+        """VMs that miss a seed's size or failure domain rank it differently."""
         self.members.apply(rumour(OTHER, 7, domain='', http_address=''))
         complete = rumour(OTHER, 7, cores=2.0)
         self.assertTrue(self.members.apply(complete))
